--- a/src/cluster/beacon_codec.hpp
+++ b/src/cluster/beacon_codec.hpp
@@ -10,7 +10,7 @@
 
 /// Largest datagram of a beacon. Larger ones would be cut by the receiver and count as lost, which
 /// makes their sender, or with a summary its whole zone, look dead.
-inline constexpr std::size_t kMostBeaconBytes = 8192;
+inline constexpr std::size_t kMaxBeaconBytes = 8192;
 
 /// Encodes a beacon and its summary within kMostBeaconBytes. What only saves time is left out
 /// first, one kind of figure after the other: shared prompts, speeds of engines, programs begun,
--- a/src/cluster/beacon_lateness.hpp
+++ b/src/cluster/beacon_lateness.hpp
@@ -19,11 +19,11 @@
  private:
   /// Clocks drift apart, by some 0.1 ms a second at most: the least time is of this long or twice
   /// as long ago, so that drift adds at most 6 ms to what is read as lateness.
-  static constexpr net::Millis kPeriod{30'000};
+  static constexpr net::Millis kMinOffsetPeriod{30'000};
 
-  net::TimePoint period_began_{};
-  std::optional<std::int64_t> least_;         ///< receiver's clock less sender's, of this period
-  std::optional<std::int64_t> least_before_;  ///< of the period before
+  net::TimePoint period_start_{};
+  std::optional<std::int64_t> min_offset_;  ///< receiver's clock less sender's, of this period
+  std::optional<std::int64_t> previous_min_offset_;  ///< of the period before
 };
 
 }  // namespace sailgate::cluster
--- a/src/cluster/beacon_sender.cpp
+++ b/src/cluster/beacon_sender.cpp
@@ -9,27 +9,27 @@
 namespace {
 
 /// Time between two beacons to the same peer while there are few peers.
-constexpr net::Millis kShortestRound{200};
+constexpr net::Millis kMinRoundTime{200};
 /// Urgent news goes out after this, or with many peers after as long as they would take anyway.
-constexpr net::Millis kShortestGap{20};
+constexpr net::Millis kMinSendGap{20};
 /// With many peers a round takes this long for each of them.
 constexpr net::Millis kTimePerPeer{3};
 /// Lost datagrams that do not yet mean a lost peer.
-constexpr int kMissedBeacons = 4;
+constexpr int kMissedBeaconsBeforeLost = 4;
 /// With more peers than these a round over all of them would take longer than the shortest one.
-constexpr std::size_t kMostDirectPeers = 66;
+constexpr std::size_t kMaxDirectPeers = 66;
 /// The nodes of a zone together send a summary to each other zone about this often, at times that
 /// they draw independently.
 constexpr net::Millis kSummaryInterval{150};
 /// A summary that comes sooner after the last one of its zone is not passed on.
-constexpr net::Millis kPassOnInterval{150};
+constexpr net::Millis kMinRelayInterval{150};
 /// What is known of a node of another zone is this much older at most: eight summaries missed in a
 /// row, which happens once in three thousand gaps.
-constexpr net::Millis kSummaryDelay{1200};
+constexpr net::Millis kMaxSummaryAge{1200};
 /// A process that sent nothing for so many rounds stood still.
-constexpr int kRoundsStoodStill = 3;
+constexpr int kStallRounds = 3;
 /// A summary that waited longer to be read is not passed on: it would pass for news.
-constexpr net::Millis kMostPassedOnLate{150};
+constexpr net::Millis kMaxRelayDelay{150};
 
 }  // namespace
 
@@ -44,15 +44,15 @@
       stalls_(net::Clock::now()) {}
 
 net::Millis BeaconSender::round_time(std::size_t peers) {
-  return std::max(kShortestRound, kTimePerPeer * static_cast<std::int64_t>(peers));
+  return std::max(kMinRoundTime, kTimePerPeer * static_cast<std::int64_t>(peers));
 }
 
 net::Millis BeaconSender::silence_limit() const {
-  const auto direct = round_time() * kMissedBeacons;
-  return summarizes() ? direct + kSummaryDelay : direct;
+  const auto direct = round_time() * kMissedBeaconsBeforeLost;
+  return summarizes() ? direct + kMaxSummaryAge : direct;
 }
 
-bool BeaconSender::summarizes() const { return directory_.peers().size() > kMostDirectPeers; }
+bool BeaconSender::summarizes() const { return directory_.peers().size() > kMaxDirectPeers; }
 
 std::vector<const Peer*> BeaconSender::receivers() const {
   const bool own_zone_only = summarizes();
@@ -87,26 +87,26 @@
 
 net::asio::awaitable<void> BeaconSender::send() {
   while (true) {
-    stalls_.tick(net::Clock::now(), round_time() * kRoundsStoodStill);
+    stalls_.tick(net::Clock::now(), round_time() * kStallRounds);
     send_to_all(encode_beacon(compose_()));
     co_await wait_for_round();
   }
 }
 
-net::Millis BeaconSender::shortest_gap(std::size_t peers) {
-  return std::max(kShortestGap, kTimePerPeer * static_cast<std::int64_t>(peers));
+net::Millis BeaconSender::min_send_gap(std::size_t peers) {
+  return std::max(kMinSendGap, kTimePerPeer * static_cast<std::int64_t>(peers));
 }
 
 net::asio::awaitable<void> BeaconSender::wait_for_round() {
   const auto until = net::Clock::now() + round_time();
-  const auto gap = summarizes() ? round_time() : shortest_gap(receivers().size());
+  const auto gap = summarizes() ? round_time() : min_send_gap(receivers().size());
   while (net::Clock::now() < until) {
     co_await net::sleep_for(context_, gap);
     if (urgent_()) co_return;
   }
 }
 
-net::Millis BeaconSender::summary_pause() {
+net::Millis BeaconSender::draw_summary_delay() {
   const auto members = static_cast<std::int64_t>(receivers().size()) + 1;
   const auto longest = 2 * kSummaryInterval * members;
   return net::Millis(
@@ -138,14 +138,14 @@
 
 net::asio::awaitable<void> BeaconSender::send_summaries() {
   while (true) {
-    co_await net::sleep_for(context_, summarizes() ? summary_pause() : kShortestRound);
+    co_await net::sleep_for(context_, summarizes() ? draw_summary_delay() : kMinRoundTime);
     const auto now = net::Clock::now();
-    stalls_.tick(now, round_time() * kRoundsStoodStill);
+    stalls_.tick(now, round_time() * kStallRounds);
     // Until a round of the zone's beacons has come, the summary of a node that stood still or has
     // just begun would tell the other zones of the time before, or of itself alone.
-    const bool hears_zone =
-        !stalls_.resumed_within(round_time(), now) && directory_.hears_zone(now, silence_limit());
-    if (!summarizes() || !hears_zone) continue;
+    const bool heard_half_of_zone = !stalls_.resumed_within(round_time(), now) &&
+                                    directory_.heard_half_of_zone(now, silence_limit());
+    if (!summarizes() || !heard_half_of_zone) continue;
     auto beacon = compose_();
     beacon.__set_summary(directory_.summarize_zone(beacon, now, silence_limit(), usage_window_));
     const auto bytes = encode_beacon(std::move(beacon));
@@ -155,16 +155,16 @@
 
 void BeaconSender::take(const wire::Beacon& beacon) {
   const auto now = net::Clock::now();
-  const auto told_at = directory_.on_beacon(beacon, now).value_or(now);
+  const auto sent_at = directory_.on_beacon(beacon, now).value_or(now);
   if (!beacon.__isset.summary) return;
-  directory_.on_summary(beacon.summary, told_at);
-  if (now > told_at + kMostPassedOnLate) return;
+  directory_.on_summary(beacon.summary, sent_at);
+  if (now > sent_at + kMaxRelayDelay) return;
   const auto* sender = directory_.find(beacon.incarnation);
   const bool first_hand = sender != nullptr && sender->zone == beacon.summary.zone;
   if (!first_hand || sender->zone == directory_.zone()) return;
-  auto& passed_on_at = passed_on_at_[beacon.summary.zone];
-  if (now < passed_on_at + kPassOnInterval) return;
-  passed_on_at = now;
+  auto& relayed_at = relayed_at_[beacon.summary.zone];
+  if (now < relayed_at + kMinRelayInterval) return;
+  relayed_at = now;
   auto own = compose_();
   own.__set_summary(beacon.summary);
   send_to_all(encode_beacon(std::move(own)));
@@ -177,7 +177,7 @@
     const auto size = co_await socket_.async_receive_from(net::asio::buffer(datagram_), sender,
                                                           net::awaiting(error));
     if (error) {
-      co_await net::sleep_for(context_, kShortestRound);
+      co_await net::sleep_for(context_, kMinRoundTime);
       continue;
     }
     try {
--- a/src/cluster/beacon_sender.hpp
+++ b/src/cluster/beacon_sender.hpp
@@ -34,12 +34,12 @@
 
   /// Asked between rounds, in fleets where nodes tell each other everything directly: whether
   /// there is something to tell that should not wait for the next one.
-  void set_urgent(std::function<bool()> urgent) { urgent_ = std::move(urgent); }
+  void set_urgent_check(std::function<bool()> urgent) { urgent_ = std::move(urgent); }
 
   /// Time in which each of so many peers gets one beacon.
   static net::Millis round_time(std::size_t peers);
   /// Least time between two beacons to so many peers.
-  static net::Millis shortest_gap(std::size_t peers);
+  static net::Millis min_send_gap(std::size_t peers);
 
   void start();
   /// A peer that was silent for this long is taken for lost.
@@ -60,7 +60,7 @@
   void send_to_all(const std::string& bytes);
   void send_to(const net::Endpoint& endpoint, const std::string& bytes);
   net::Millis round_time() const { return round_time(receivers().size()); }
-  net::Millis summary_pause();
+  net::Millis draw_summary_delay();
   /// One node of each other zone.
   std::vector<const Peer*> summary_receivers();
 
@@ -72,8 +72,8 @@
   base::Random random_;
   StallDetector stalls_;
   net::Millis usage_window_{5000};
-  std::map<std::string, net::TimePoint> passed_on_at_;  ///< by zone: its summary, by this node
-  std::array<char, kMostBeaconBytes> datagram_{};
+  std::map<std::string, net::TimePoint> relayed_at_;  ///< by zone: its summary, by this node
+  std::array<char, kMaxBeaconBytes> datagram_{};
 };
 
 }  // namespace sailgate::cluster
--- a/src/cluster/departed_peers.cpp
+++ b/src/cluster/departed_peers.cpp
@@ -7,16 +7,16 @@
 namespace {
 
 /// More than any window over which limits count.
-constexpr net::Millis kKept{60'000};
+constexpr net::Millis kRetentionPeriod{60'000};
 
 }  // namespace
 
-void DepartedPeers::note(std::int64_t incarnation, DepartedPeer peer) {
+void DepartedPeers::add(std::int64_t incarnation, DepartedPeer peer) {
   peers_[incarnation] = std::move(peer);
 }
 
-bool DepartedPeers::hear(std::int64_t incarnation, const TenantUsages& tenants,
-                         net::TimePoint heard_at) {
+bool DepartedPeers::on_beacon(std::int64_t incarnation, const TenantUsages& tenants,
+                              net::TimePoint heard_at) {
   const auto known = peers_.find(incarnation);
   if (known == peers_.end()) return false;
   known->second.last_heard = std::max(known->second.last_heard, heard_at);
@@ -24,9 +24,9 @@
   return true;
 }
 
-void DepartedPeers::forget_old(net::TimePoint now) {
+void DepartedPeers::evict_expired(net::TimePoint now) {
   for (auto entry = peers_.begin(); entry != peers_.end();) {
-    const bool over = now >= entry->second.last_heard + kKept;
+    const bool over = now >= entry->second.last_heard + kRetentionPeriod;
     entry = over ? peers_.erase(entry) : std::next(entry);
   }
 }
@@ -40,16 +40,16 @@
   return serving;
 }
 
-net::Millis DepartedPeers::untold(const std::string& node, net::TimePoint from,
-                                  net::TimePoint until) const {
-  auto untold = until - from;
+net::Millis DepartedPeers::unreported_time(const std::string& node, net::TimePoint from,
+                                           net::TimePoint until) const {
+  auto unreported_time = until - from;
   for (const auto& [incarnation, peer] : peers_) {
-    if (!peer.told || peer.node != node) continue;
+    if (!peer.reported || peer.node != node) continue;
     const auto began = std::max(from, peer.started_at);
     const auto ended = std::min(until, peer.last_heard);
-    if (ended > began) untold -= ended - began;
+    if (ended > began) unreported_time -= ended - began;
   }
-  return std::max(std::chrono::duration_cast<net::Millis>(untold), net::Millis(0));
+  return std::max(std::chrono::duration_cast<net::Millis>(unreported_time), net::Millis(0));
 }
 
 }  // namespace sailgate::cluster
--- a/src/cluster/departed_peers.hpp
+++ b/src/cluster/departed_peers.hpp
@@ -19,7 +19,7 @@
   TenantUsages tenants;         ///< what it let through: that lies in the window for a while
   net::TimePoint left_at{};     ///< heard of as a peer until then
   bool replaced = false;        ///< another process has its place: it has ended
-  bool told = false;            ///< of itself: what it let through until it was last heard is known
+  bool reported = false;        ///< of itself: what it let through until it was last heard is known
   net::TimePoint started_at{};  ///< of its process; a time long ago is not told
 };
 
@@ -28,15 +28,16 @@
 class DepartedPeers {
  public:
   /// Also one that has told nothing: it may have begun to serve a moment ago.
-  void note(std::int64_t incarnation, DepartedPeer peer);
+  void add(std::int64_t incarnation, DepartedPeer peer);
   /// It is a peer after all.
   void erase(std::int64_t incarnation) { peers_.erase(incarnation); }
   /// A beacon came from it. @return whether it is known.
-  bool hear(std::int64_t incarnation, const TenantUsages& tenants, net::TimePoint heard_at);
+  bool on_beacon(std::int64_t incarnation, const TenantUsages& tenants, net::TimePoint heard_at);
   /// Forgets those that were heard of so long ago that nothing of them lies in any window.
-  void forget_old(net::TimePoint now);
+  void evict_expired(net::TimePoint now);
   /// Of the time between `from` and `until`, that of which no process of the node told.
-  net::Millis untold(const std::string& node, net::TimePoint from, net::TimePoint until) const;
+  net::Millis unreported_time(const std::string& node, net::TimePoint from,
+                              net::TimePoint until) const;
   /// Those that serve on, by when they were heard.
   std::vector<const DepartedPeer*> serving(net::TimePoint now, net::Millis silence) const;
 
--- a/src/cluster/fleet_usage.cpp
+++ b/src/cluster/fleet_usage.cpp
@@ -22,12 +22,12 @@
 class UsageSum {
  public:
   UsageSum(std::int32_t tenant, net::TimePoint now, net::Millis silence, net::Millis window)
-      : tenant_(tenant), now_(now), news_age_(NewsAge::within(silence)), window_(window) {}
+      : tenant_(tenant), now_(now), news_age_(FreshnessDecay::within(silence)), window_(window) {}
 
-  void add(const TenantUsages& told, net::TimePoint told_at) {
+  void add(const TenantUsages& told, net::TimePoint reported_at) {
     const auto found = told.find(tenant_);
     if (found == told.end()) return;
-    const auto age = between(told_at, now_);
+    const auto age = between(reported_at, now_);
     const auto usage = aged(found->second, age, window_);
     const double weight = news_age_.weight(age);
     sum_.heard += weight * usage.window;
@@ -57,7 +57,7 @@
 
   std::int32_t tenant_;
   net::TimePoint now_;
-  NewsAge news_age_;
+  FreshnessDecay news_age_;
   net::Millis window_;
   OthersUsage sum_;
 };
@@ -65,10 +65,10 @@
 /// Nodes that a zone's sum stands for, each by how fresh news of it is. A node of the zone that is
 /// heard by other ways does not count: right after a cut has healed, sums that one side made told
 /// half of what had passed.
-double nodes_summed(const ZoneSums& sum, net::TimePoint now, const NewsAge& news_age) {
-  const auto age = between(sum.taken_at, now);
+double nodes_summed(const ZoneSums& sum, net::TimePoint now, const FreshnessDecay& news_age) {
+  const auto age = between(sum.summarized_at, now);
   double nodes = 0;
-  for (const auto silent : sum.members_silent) nodes += news_age.weight(age + silent);
+  for (const auto silent : sum.member_silence) nodes += news_age.weight(age + silent);
   return nodes;
 }
 
@@ -79,11 +79,11 @@
   UsageSum sum(tenant, now, silence, window);
   const auto& zones = directory.zone_sums();
   for (const auto& [zone, known] : zones) {
-    sum.add(known.told.tenants, known.taken_at - kSummedAge);
-    for (const auto& lost : known.lost) sum.add(lost.tenants, lost.told_at - kSummedAge);
+    sum.add(known.stats.tenants, known.summarized_at - kSummedAge);
+    for (const auto& lost : known.lost) sum.add(lost.tenants, lost.reported_at - kSummedAge);
   }
   for (const auto& [node, peer] : directory.peers()) {
-    if (zones.count(peer.zone) == 0) sum.add(peer.told.tenants, peer.last_heard);
+    if (zones.count(peer.zone) == 0) sum.add(peer.stats.tenants, peer.last_heard);
   }
   for (const auto& [incarnation, departed] : directory.departed().all()) {
     if (zones.count(departed.zone) == 0) sum.add(departed.tenants, departed.last_heard);
@@ -93,13 +93,13 @@
 
 Membership membership_of(const PeerDirectory& directory, net::TimePoint now, net::Millis silence,
                          net::Millis window, net::TimePoint started_at) {
-  const auto news_age = NewsAge::within(silence);
+  const auto news_age = FreshnessDecay::within(silence);
   Membership membership;
   const auto add_start = [&](const std::string& node, net::TimePoint start) {
     const auto served = between(start, now);
     if (served >= window) return;
     // What the node's processes before told counts by itself.
-    const auto untold = directory.departed().untold(node, now - window, start);
+    const auto untold = directory.departed().unreported_time(node, now - window, start);
     // Spans are looked at in steps of a part: in one of them as much again may have passed.
     const auto before = std::min(window, untold + quota::part_of(window));
     membership.restarted += 1;
@@ -113,7 +113,7 @@
     ++membership.known;
     add_start(node, peer.started_at);
     ++known_in_zone[peer.zone];
-    if (!peer.told_of_itself) continue;
+    if (!peer.has_reported) continue;
     if (now < peer.last_heard + silence) ++membership.heard;
     const bool summed = directory.zone_sums().count(peer.zone) > 0;
     if (!summed) membership.fresh += news_age.weight(between(peer.last_heard, now));
@@ -124,8 +124,8 @@
     ++membership.known;
     const auto sum = directory.zone_sums().find(departed.zone);
     const bool summed = sum != directory.zone_sums().end();
-    const auto told_at = summed ? sum->second.taken_at : departed.last_heard;
-    membership.fresh += news_age.weight(between(told_at, now));
+    const auto reported_at = summed ? sum->second.summarized_at : departed.last_heard;
+    membership.fresh += news_age.weight(between(reported_at, now));
   }
   for (const auto& [zone, sum] : directory.zone_sums()) {
     membership.fresh += std::min(nodes_summed(sum, now, news_age), known_in_zone[zone]);
--- a/src/cluster/peer_directory.cpp
+++ b/src/cluster/peer_directory.cpp
@@ -8,48 +8,48 @@
 
 namespace {
 
-constexpr net::Millis kSuspicion{600};
+constexpr net::Millis kSuspicionPeriod{600};
 
 std::uint64_t rendezvous_weight(const std::string& key, const std::string& node) {
   return XXH64(key.data(), key.size(), XXH64(node.data(), node.size(), 0));
 }
 
 /// Starts that lie longer ago are not told: they are beyond every window over which limits count.
-constexpr net::Millis kToldUptime{60'000};
+constexpr net::Millis kMaxReportedUptime{60'000};
 
 net::Millis between(net::TimePoint earlier, net::TimePoint later) {
   return std::chrono::duration_cast<net::Millis>(later - earlier);
 }
 
 /// Start of a process that told its uptime at `heard_at`; long ago when it told none.
-net::TimePoint start_of(bool told, std::int32_t uptime_ms, net::TimePoint heard_at) {
-  return told ? heard_at - net::Millis(uptime_ms) : net::TimePoint{};
+net::TimePoint start_time_of(bool has_uptime, std::int32_t uptime_ms, net::TimePoint heard_at) {
+  return has_uptime ? heard_at - net::Millis(uptime_ms) : net::TimePoint{};
 }
 
 /// Takes over what a node tells of itself.
-void take_over(const wire::Beacon& beacon, net::TimePoint now, Peer& peer) {
+void apply_beacon(const wire::Beacon& beacon, net::TimePoint now, Peer& peer) {
   peer.last_heard = std::max(peer.last_heard, now);
-  peer.told_of_itself = true;
+  peer.has_reported = true;
   peer.reaches_store = beacon.reaches_store;
   peer.steps_aside = beacon.steps_aside;
-  peer.told = figures_of(beacon);
+  peer.stats = extract_stats(beacon);
   peer.escrow_shards = {beacon.escrow_shards.begin(), beacon.escrow_shards.end()};
   peer.bare_shards = {beacon.bare_shards.begin(), beacon.bare_shards.end()};
-  peer.started_at = start_of(beacon.__isset.uptime_ms, beacon.uptime_ms, now);
+  peer.started_at = start_time_of(beacon.__isset.uptime_ms, beacon.uptime_ms, now);
 }
 
 /// Peers that began within this time are told of processes that they never heard.
-constexpr net::Millis kIntroduction{2000};
+constexpr net::Millis kNewcomerPeriod{2000};
 
 /// Tenants' figures of lost processes in one beacon, at some 20 bytes each; one process more may
 /// go beyond it.
-constexpr std::size_t kMostUsagesPassedOn = 60;
+constexpr std::size_t kMaxRelayedUsages = 60;
 
 /// A process hears of the others by then.
-constexpr net::Millis kFirstNews{500};
+constexpr net::Millis kDiscoveryTime{500};
 
 /// Losses of a whole zone whose requests may lie in one window.
-constexpr std::size_t kLossesKept = 4;
+constexpr std::size_t kMaxKeptZoneLosses = 4;
 
 /// Whether no process of the zone is as old as that.
 bool all_began_after(const wire::ZoneSummary& summary, net::TimePoint time, net::TimePoint now) {
@@ -59,7 +59,7 @@
   });
 }
 
-wire::ZoneMember member_of(const Peer& peer, net::TimePoint now) {
+wire::ZoneMember make_member(const Peer& peer, net::TimePoint now) {
   wire::ZoneMember member;
   member.incarnation = peer.incarnation;
   member.silent_ms = static_cast<std::int32_t>(between(peer.last_heard, now).count());
@@ -72,25 +72,27 @@
     member.__set_bare_shards({peer.bare_shards.begin(), peer.bare_shards.end()});
   }
   const auto uptime = between(peer.started_at, peer.last_heard);
-  if (uptime < kToldUptime) member.__set_uptime_ms(static_cast<std::int32_t>(uptime.count()));
+  if (uptime < kMaxReportedUptime)
+    member.__set_uptime_ms(static_cast<std::int32_t>(uptime.count()));
   return member;
 }
 
-DepartedPeer departed_of(const Peer& peer, bool replaced) {
+DepartedPeer make_departed(const Peer& peer, bool replaced) {
   DepartedPeer departed;
   departed.node = peer.node;
   departed.zone = peer.zone;
   departed.endpoint = peer.endpoint;
   departed.last_heard = peer.last_heard;
-  departed.tenants = peer.told.tenants;
+  departed.tenants = peer.stats.tenants;
   departed.left_at = peer.last_heard;
   departed.replaced = replaced;
-  departed.told = peer.told_of_itself;
+  departed.reported = peer.has_reported;
   departed.started_at = peer.started_at;
   return departed;
 }
 
-wire::SilentProcess silent(std::int64_t incarnation, const DepartedPeer& lost, net::TimePoint now) {
+wire::SilentProcess silent_process_of(std::int64_t incarnation, const DepartedPeer& lost,
+                                      net::TimePoint now) {
   wire::SilentProcess process;
   process.node = lost.node;
   process.incarnation = incarnation;
@@ -98,7 +100,8 @@
   process.silent_ms = static_cast<std::int32_t>(between(lost.last_heard, now).count());
   process.tenants = lost.tenants;
   const auto uptime = between(lost.started_at, lost.last_heard);
-  if (uptime < kToldUptime) process.__set_uptime_ms(static_cast<std::int32_t>(uptime.count()));
+  if (uptime < kMaxReportedUptime)
+    process.__set_uptime_ms(static_cast<std::int32_t>(uptime.count()));
   return process;
 }
 
@@ -108,8 +111,8 @@
   if (node == self_) return;
   const auto known = peers_.find(node);
   if (known != peers_.end() && known->second.incarnation == row.incarnation) return;
-  departed_.forget_old(seen_at);
-  forget(node, true);
+  departed_.evict_expired(seen_at);
+  retire(node, true);
   net::Error error;
   const auto address = net::asio::ip::make_address(row.address, error);
   if (error) return;
@@ -124,16 +127,16 @@
   peers_[node] = std::move(peer);
 }
 
-void PeerDirectory::remove(const std::string& node) { forget(node, false); }
+void PeerDirectory::remove(const std::string& node) { retire(node, false); }
 
-void PeerDirectory::forget(const std::string& node, bool replaced) {
+void PeerDirectory::retire(const std::string& node, bool replaced) {
   const auto known = peers_.find(node);
   if (known == peers_.end()) return;
   const auto& peer = known->second;
   nodes_by_incarnation_.erase(peer.incarnation);
   // Peers may have told what this node never heard of the process.
-  if (peer.told_of_itself || departed_.all().count(peer.incarnation) == 0) {
-    departed_.note(peer.incarnation, departed_of(peer, replaced));
+  if (peer.has_reported || departed_.all().count(peer.incarnation) == 0) {
+    departed_.add(peer.incarnation, make_departed(peer, replaced));
   }
   peers_.erase(known);
 }
@@ -152,26 +155,27 @@
                                                        net::TimePoint now) {
   auto* peer = find_by(beacon.incarnation);
   if (peer == nullptr) {
-    departed_.hear(beacon.incarnation, beacon.tenants, now);
+    departed_.on_beacon(beacon.incarnation, beacon.tenants, now);
     return std::nullopt;
   }
   newest_store_version_ = std::max(newest_store_version_, beacon.store_version);
   departed_.erase(beacon.incarnation);
-  auto told_at = now;
-  if (beacon.__isset.sent_ms) told_at -= peer->lateness.of(beacon.sent_ms, now);
-  for (const auto& process : beacon.silent) learn(process, told_at);
+  auto sent_at = now;
+  if (beacon.__isset.sent_ms) sent_at -= peer->lateness.of(beacon.sent_ms, now);
+  for (const auto& process : beacon.silent) merge_silent_process(process, sent_at);
   // Beacons may overtake one another.
-  if (told_at >= peer->last_heard || !peer->told_of_itself) take_over(beacon, told_at, *peer);
-  return told_at;
+  if (sent_at >= peer->last_heard || !peer->has_reported) apply_beacon(beacon, sent_at, *peer);
+  return sent_at;
 }
 
-void PeerDirectory::learn(const wire::SilentProcess& process, net::TimePoint told_at) {
+void PeerDirectory::merge_silent_process(const wire::SilentProcess& process,
+                                         net::TimePoint sent_at) {
   if (process.incarnation == incarnation_) return;
   const auto* peer = find(process.incarnation);
-  if (peer != nullptr && peer->told_of_itself) return;
-  const auto heard_at = told_at - net::Millis(process.silent_ms);
+  if (peer != nullptr && peer->has_reported) return;
+  const auto heard_at = sent_at - net::Millis(process.silent_ms);
   const auto known = departed_.all().find(process.incarnation);
-  const bool heard = known != departed_.all().end() && known->second.told;
+  const bool heard = known != departed_.all().end() && known->second.reported;
   if (heard && known->second.last_heard >= heard_at) return;
   DepartedPeer departed;
   departed.node = process.node;
@@ -180,43 +184,44 @@
   departed.tenants = process.tenants;
   departed.left_at = heard_at;
   departed.replaced = true;
-  departed.told = true;
-  departed.started_at = start_of(process.__isset.uptime_ms, process.uptime_ms, heard_at);
-  departed_.note(process.incarnation, std::move(departed));
+  departed.reported = true;
+  departed.started_at = start_time_of(process.__isset.uptime_ms, process.uptime_ms, heard_at);
+  departed_.add(process.incarnation, std::move(departed));
 }
 
 bool PeerDirectory::has_newcomers(net::TimePoint heard_at, net::TimePoint now) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const auto began = entry.second.started_at;
-    return began + kFirstNews > heard_at && now < began + kIntroduction;
+    return began + kDiscoveryTime > heard_at && now < began + kNewcomerPeriod;
   });
 }
 
-std::vector<wire::SilentProcess> PeerDirectory::silent_to_pass_on(net::TimePoint now,
-                                                                  net::Millis silence,
-                                                                  net::Millis window,
-                                                                  std::size_t turn) const {
+std::vector<wire::SilentProcess> PeerDirectory::silent_processes_to_relay(net::TimePoint now,
+                                                                          net::Millis silence,
+                                                                          net::Millis window,
+                                                                          std::size_t turn) const {
   std::vector<wire::SilentProcess> candidates;
   const auto consider = [&](std::int64_t incarnation, const DepartedPeer& lost) {
     // Sums tell of other zones' processes.
     if (zone_sums_.count(lost.zone) > 0 || now >= lost.last_heard + window) return;
-    if (has_newcomers(lost.last_heard, now)) candidates.push_back(silent(incarnation, lost, now));
+    if (has_newcomers(lost.last_heard, now))
+      candidates.push_back(silent_process_of(incarnation, lost, now));
   };
   for (const auto& [node, peer] : peers_) {
-    const bool is_silent = peer.told_of_itself && now >= peer.last_heard + silence / 2;
-    if (is_silent) consider(peer.incarnation, departed_of(peer, false));
+    const bool is_silent = peer.has_reported && now >= peer.last_heard + silence / 2;
+    if (is_silent) consider(peer.incarnation, make_departed(peer, false));
   }
   for (const auto& [incarnation, departed] : departed_.all()) {
-    if (departed.told) consider(incarnation, departed);
+    if (departed.reported) consider(incarnation, departed);
   }
-  std::vector<wire::SilentProcess> passed_on;
+  std::vector<wire::SilentProcess> relayed;
   std::size_t usages = 0;
-  for (std::size_t i = 0; i < candidates.size() && usages < kMostUsagesPassedOn; ++i) {
+  for (std::size_t i = 0; i < candidates.size() && usages < kMaxRelayedUsages; ++i) {
     auto& next = candidates[(turn + i) % candidates.size()];
     usages += next.tenants.size();
-    passed_on.push_back(std::move(next));
+    relayed.push_back(std::move(next));
   }
-  return passed_on;
+  return relayed;
 }
 
 void PeerDirectory::on_summary(const wire::ZoneSummary& summary, net::TimePoint now) {
@@ -226,24 +231,24 @@
     const auto heard_at = now - net::Millis(member.silent_ms);
     if (peer == nullptr || peer->zone != summary.zone || heard_at < peer->last_heard) continue;
     peer->last_heard = heard_at;
-    peer->told_of_itself = true;
+    peer->has_reported = true;
     peer->reaches_store = member.reaches_store;
     peer->steps_aside = member.steps_aside;
     peer->escrow_shards = {member.escrow_shards.begin(), member.escrow_shards.end()};
     peer->bare_shards = {member.bare_shards.begin(), member.bare_shards.end()};
-    peer->started_at = start_of(member.__isset.uptime_ms, member.uptime_ms, heard_at);
+    peer->started_at = start_time_of(member.__isset.uptime_ms, member.uptime_ms, heard_at);
   }
   auto& known = zone_sums_[summary.zone];
-  if (now < known.taken_at) return;
-  if (all_began_after(summary, known.taken_at, now)) {
-    known.lost.push_back({known.told.tenants, known.taken_at});
-    if (known.lost.size() > kLossesKept) known.lost.erase(known.lost.begin());
+  if (now < known.summarized_at) return;
+  if (all_began_after(summary, known.summarized_at, now)) {
+    known.lost.push_back({known.stats.tenants, known.summarized_at});
+    if (known.lost.size() > kMaxKeptZoneLosses) known.lost.erase(known.lost.begin());
   }
-  known.told = figures_of(summary);
-  known.taken_at = now;
-  known.members_silent.clear();
+  known.stats = extract_stats(summary);
+  known.summarized_at = now;
+  known.member_silence.clear();
   for (const auto& member : summary.members) {
-    known.members_silent.emplace_back(member.silent_ms);
+    known.member_silence.emplace_back(member.silent_ms);
   }
 }
 
@@ -251,16 +256,16 @@
                                                 net::Millis silence, net::Millis window) const {
   Peer self;
   self.incarnation = own.incarnation;
-  take_over(own, now, self);
+  apply_beacon(own, now, self);
   wire::ZoneSummary summary;
   summary.zone = zone_;
-  ToldFigures sum;
+  NodeStats sum;
   const auto add = [&](const Peer& peer) {
     const bool heard = now < peer.last_heard + silence;
-    add_usages(peer.told.tenants, {between(peer.last_heard, now), window, heard}, sum.tenants);
+    add_usages(peer.stats.tenants, {between(peer.last_heard, now), window, heard}, sum.tenants);
     if (!heard) return;
-    summary.members.push_back(member_of(peer, now));
-    sum.add(peer.told);
+    summary.members.push_back(make_member(peer, now));
+    sum.add(peer.stats);
   };
   add(self);
   for (const auto& [node, peer] : peers_) {
@@ -271,23 +276,23 @@
     const bool heard = now < departed.last_heard + silence;
     add_usages(departed.tenants, {between(departed.last_heard, now), window, heard}, sum.tenants);
   }
-  tell(sum, summary);
+  write_stats(sum, summary);
   return summary;
 }
 
-void PeerDirectory::note_standstill(net::TimePoint from, net::TimePoint now, net::Millis silence) {
+void PeerDirectory::note_stall(net::TimePoint from, net::TimePoint now, net::Millis silence) {
   for (auto& [node, peer] : peers_) {
-    if (from < peer.sign_of_life() + silence) peer.believed_at = now;
+    if (from < peer.last_sign_of_life() + silence) peer.presumed_live_at = now;
   }
 }
 
-bool PeerDirectory::hears_zone(net::TimePoint now, net::Millis silence) const {
+bool PeerDirectory::heard_half_of_zone(net::TimePoint now, net::Millis silence) const {
   std::size_t may_live = 0;
   std::size_t told = 0;
   for (const auto& [node, peer] : peers_) {
     if (peer.zone != zone_ || now >= peer.last_heard + silence) continue;
     ++may_live;
-    if (peer.told_of_itself) ++told;
+    if (peer.has_reported) ++told;
   }
   return 2 * told >= may_live;
 }
@@ -296,19 +301,19 @@
   const auto peer = peers_.find(node);
   if (peer == peers_.end()) return;
   peer->second.suspected_at = now;
-  peer->second.suspected_until = now + kSuspicion;
+  peer->second.suspected_until = now + kSuspicionPeriod;
 }
 
 void PeerDirectory::suspect_zone(const std::string& zone, net::TimePoint now) {
   for (auto& [node, peer] : peers_) {
     if (peer.zone != zone) continue;
     peer.suspected_at = now;
-    peer.suspected_until = now + kSuspicion;
+    peer.suspected_until = now + kSuspicionPeriod;
   }
 }
 
 bool PeerDirectory::is_live(const Peer& peer, net::TimePoint now, net::Millis silence) {
-  if (now >= peer.sign_of_life() + silence || now < peer.suspected_until) return false;
+  if (now >= peer.last_sign_of_life() + silence || now < peer.suspected_until) return false;
   const bool suspected = peer.suspected_at != net::TimePoint{};
   return !suspected || peer.last_heard > peer.suspected_at;
 }
@@ -345,7 +350,7 @@
   std::set<int> owned = own;
   std::vector<const std::string*> nodes;
   for (const auto& [node, peer] : peers_) {
-    if (now >= peer.sign_of_life() + silence) continue;
+    if (now >= peer.last_sign_of_life() + silence) continue;
     nodes.push_back(&node);
     owned.insert(peer.escrow_shards.begin(), peer.escrow_shards.end());
     owned.insert(peer.bare_shards.begin(), peer.bare_shards.end());
@@ -365,7 +370,7 @@
 
 bool PeerDirectory::heard(std::int64_t incarnation, net::TimePoint now, net::Millis silence) const {
   const auto* peer = find(incarnation);
-  return peer != nullptr && now < peer->sign_of_life() + silence;
+  return peer != nullptr && now < peer->last_sign_of_life() + silence;
 }
 
 std::vector<Peer> PeerDirectory::reaching_store(net::TimePoint now, net::Millis silence) const {
@@ -383,36 +388,36 @@
                                   const Visit& visit) const {
   std::set<std::string> summed;
   for (const auto& [zone, known] : zone_sums_) {
-    if (now >= known.taken_at + silence) continue;
-    visit(known.told);
+    if (now >= known.summarized_at + silence) continue;
+    visit(known.stats);
     summed.insert(zone);
   }
   for (const auto& [node, peer] : peers_) {
-    if (summed.count(peer.zone) == 0 && is_live(peer, now, silence)) visit(peer.told);
+    if (summed.count(peer.zone) == 0 && is_live(peer, now, silence)) visit(peer.stats);
   }
 }
 
 EngineLoads PeerDirectory::loads(net::TimePoint now, net::Millis silence) const {
   EngineLoads sum;
-  for_each_live(now, silence, [&](const ToldFigures& told) { sum.add(told.loads); });
+  for_each_live(now, silence, [&](const NodeStats& stats) { sum.add(stats.loads); });
   return sum;
 }
 
 EngineLoads PeerDirectory::failures(net::TimePoint now, net::Millis silence) const {
   EngineLoads sum;
-  for_each_live(now, silence, [&](const ToldFigures& told) { sum.add(told.failures); });
+  for_each_live(now, silence, [&](const NodeStats& stats) { sum.add(stats.failures); });
   return sum;
 }
 
 CountByKey PeerDirectory::begun(net::TimePoint now, net::Millis silence) const {
   CountByKey sum;
-  for_each_live(now, silence, [&](const ToldFigures& told) { add_counts(told.begun, sum); });
+  for_each_live(now, silence, [&](const NodeStats& stats) { add_counts(stats.begun, sum); });
   return sum;
 }
 
-ToldFigures PeerDirectory::figures(net::TimePoint now, net::Millis silence) const {
-  ToldFigures sum;
-  for_each_live(now, silence, [&](const ToldFigures& told) { sum.add(told); });
+NodeStats PeerDirectory::live_stats(net::TimePoint now, net::Millis silence) const {
+  NodeStats sum;
+  for_each_live(now, silence, [&](const NodeStats& stats) { sum.add(stats); });
   return sum;
 }
 
--- a/src/cluster/peer_directory.hpp
+++ b/src/cluster/peer_directory.hpp
@@ -26,36 +26,36 @@
   std::string node;
   std::int64_t incarnation = 0;
   std::string zone;
-  net::Endpoint endpoint;            ///< calls (TCP) and beacons (UDP)
-  net::TimePoint last_heard{};       ///< by this node, or by one of the peer's zone
-  net::TimePoint believed_at{};      ///< lived when this node stood still, which ended then
-  bool told_of_itself = false;       ///< else last_heard is when its row came
-  net::TimePoint suspected_at{};     ///< a call failed
-  net::TimePoint suspected_until{};  ///< not used until then
-  ToldFigures told;                  ///< as its last beacon said
-  bool reaches_store = false;        ///< the store answers its own calls
-  bool steps_aside = false;          ///< sends callers elsewhere
-  std::set<int> escrow_shards;       ///< owned, with an escrow to spend
-  std::set<int> bare_shards;         ///< owned, without
-  net::TimePoint started_at{};       ///< of its process; a time long ago is not told
+  net::Endpoint endpoint;             ///< calls (TCP) and beacons (UDP)
+  net::TimePoint last_heard{};        ///< by this node, or by one of the peer's zone
+  net::TimePoint presumed_live_at{};  ///< lived when this node stood still, which ended then
+  bool has_reported = false;          ///< else last_heard is when its row came
+  net::TimePoint suspected_at{};      ///< a call failed
+  net::TimePoint suspected_until{};   ///< not used until then
+  NodeStats stats;                    ///< as its last beacon said
+  bool reaches_store = false;         ///< the store answers its own calls
+  bool steps_aside = false;           ///< sends callers elsewhere
+  std::set<int> escrow_shards;        ///< owned, with an escrow to spend
+  std::set<int> bare_shards;          ///< owned, without
+  net::TimePoint started_at{};        ///< of its process; a time long ago is not told
   BeaconLateness lateness;
 
   /// From when on its silence says that it is lost.
-  net::TimePoint sign_of_life() const { return std::max(last_heard, believed_at); }
+  net::TimePoint last_sign_of_life() const { return std::max(last_heard, presumed_live_at); }
 };
 
 /// What processes that all ended at once had told: nobody of their zone sums it up any more.
-struct LostUsages {
+struct LostZoneUsage {
   TenantUsages tenants;
-  net::TimePoint told_at{};
+  net::TimePoint reported_at{};
 };
 
 /// Sums over a zone's nodes, as its last summary said.
 struct ZoneSums {
-  ToldFigures told;
-  net::TimePoint taken_at{};
-  std::vector<net::Millis> members_silent;  ///< for how long, of each node that is summed up
-  std::vector<LostUsages> lost;             ///< before losses of the whole zone, the latest last
+  NodeStats stats;
+  net::TimePoint summarized_at{};
+  std::vector<net::Millis> member_silence;  ///< for how long, of each node that is summed up
+  std::vector<LostZoneUsage> lost;          ///< before losses of the whole zone, the latest last
 };
 
 /// Deterministic, not thread-safe.
@@ -71,7 +71,7 @@
   void set_incarnation(std::int64_t incarnation) { incarnation_ = incarnation; }
 
   /// All rows of nodes have been taken over once: peers that are not known do not exist.
-  void note_complete() { complete_ = true; }
+  void mark_complete() { complete_ = true; }
   /// Takes a node's row over. @param seen_at when a new incarnation counts as heard of.
   void put(const std::string& node, const wire::PeerRow& row, net::TimePoint seen_at);
   /// The node's row is gone: it has left, or is about to.
@@ -88,14 +88,16 @@
   /// Processes that are not heard any more and whose requests may still count, for beacons: those
   /// whose last word some peer is too young to have heard, as many as are small enough together.
   /// @param turn counted up by the caller, so that all have their turn.
-  std::vector<wire::SilentProcess> silent_to_pass_on(net::TimePoint now, net::Millis silence,
-                                                     net::Millis window, std::size_t turn) const;
+  std::vector<wire::SilentProcess> silent_processes_to_relay(net::TimePoint now,
+                                                             net::Millis silence,
+                                                             net::Millis window,
+                                                             std::size_t turn) const;
   /// Whether half or more of the zone's peers that may live have told of themselves. Rows name
   /// peers before they are heard: a sum over the zone would be far too low then.
-  bool hears_zone(net::TimePoint now, net::Millis silence) const;
+  bool heard_half_of_zone(net::TimePoint now, net::Millis silence) const;
   /// This node stood still: who lived before is not lost for that it was not heard meanwhile, and
   /// its programs are not to be claimed.
-  void note_standstill(net::TimePoint from, net::TimePoint now, net::Millis silence);
+  void note_stall(net::TimePoint from, net::TimePoint now, net::Millis silence);
   /// A call to the peer failed.
   void suspect(const std::string& node, net::TimePoint now);
   /// Nothing of a zone is heard: calls to any of its nodes would fail, each after a time-out.
@@ -137,7 +139,7 @@
   /// sum this ten times a second, so without the other figures.
   CountByKey begun(net::TimePoint now, net::Millis silence) const;
   /// All figures of live peers but those of tenants, summed in the same way.
-  ToldFigures figures(net::TimePoint now, net::Millis silence) const;
+  NodeStats live_stats(net::TimePoint now, net::Millis silence) const;
 
   bool complete() const { return complete_; }
   const DepartedPeers& departed() const { return departed_; }
@@ -152,9 +154,9 @@
   void for_each_live(net::TimePoint now, net::Millis silence, const Visit& visit) const;
   Peer* find_by(std::int64_t incarnation);
   /// Takes over what a peer heard from a process that this node never heard, or not as late.
-  void learn(const wire::SilentProcess& process, net::TimePoint told_at);
+  void merge_silent_process(const wire::SilentProcess& process, net::TimePoint sent_at);
   /// @param replaced another process of the node has begun.
-  void forget(const std::string& node, bool replaced);
+  void retire(const std::string& node, bool replaced);
 
   /// Whether some peer began lately and may not have heard what came at `heard_at`.
   bool has_newcomers(net::TimePoint heard_at, net::TimePoint now) const;
--- a/src/cluster/told_figures.cpp
+++ b/src/cluster/told_figures.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-/// Beacons and summaries carry the same figures under the same names.
+/// Beacons and summaries carry the same stats under the same names.
 template <typename Message>
-ToldFigures read(const Message& message) {
-  ToldFigures figures;
-  figures.loads = message.loads;
-  figures.failures = message.failures;
-  figures.speeds = message.speeds;
-  figures.prompts = message.prompts;
-  figures.begun = message.begun;
-  figures.tenants = message.tenants;
-  return figures;
+NodeStats read(const Message& message) {
+  NodeStats stats;
+  stats.loads = message.loads;
+  stats.failures = message.failures;
+  stats.speeds = message.speeds;
+  stats.prompts = message.prompts;
+  stats.begun = message.begun;
+  stats.tenants = message.tenants;
+  return stats;
 }
 
 }  // namespace
@@ -40,7 +40,7 @@
   }
 }
 
-void ToldFigures::add(const ToldFigures& other) {
+void NodeStats::add(const NodeStats& other) {
   add_counts(other.loads, loads);
   add_counts(other.failures, failures);
   add_speeds(other.speeds, speeds);
@@ -48,22 +48,22 @@
   add_counts(other.begun, begun);
 }
 
-ToldFigures figures_of(const wire::Beacon& beacon) { return read(beacon); }
+NodeStats extract_stats(const wire::Beacon& beacon) { return read(beacon); }
 
-ToldFigures figures_of(const wire::ZoneSummary& summary) { return read(summary); }
+NodeStats extract_stats(const wire::ZoneSummary& summary) { return read(summary); }
 
-void tell(const ToldFigures& figures, wire::ZoneSummary& summary) {
-  summary.loads = figures.loads;
-  summary.failures = figures.failures;
-  summary.__isset.failures = !figures.failures.empty();
-  summary.speeds = figures.speeds;
-  summary.__isset.speeds = !figures.speeds.empty();
-  summary.prompts = figures.prompts;
-  summary.__isset.prompts = !figures.prompts.empty();
-  summary.begun = figures.begun;
-  summary.__isset.begun = !figures.begun.empty();
-  summary.tenants = figures.tenants;
-  summary.__isset.tenants = !figures.tenants.empty();
+void write_stats(const NodeStats& stats, wire::ZoneSummary& summary) {
+  summary.loads = stats.loads;
+  summary.failures = stats.failures;
+  summary.__isset.failures = !stats.failures.empty();
+  summary.speeds = stats.speeds;
+  summary.__isset.speeds = !stats.speeds.empty();
+  summary.prompts = stats.prompts;
+  summary.__isset.prompts = !stats.prompts.empty();
+  summary.begun = stats.begun;
+  summary.__isset.begun = !stats.begun.empty();
+  summary.tenants = stats.tenants;
+  summary.__isset.tenants = !stats.tenants.empty();
 }
 
 }  // namespace sailgate::cluster
--- a/src/cluster/told_figures.hpp
+++ b/src/cluster/told_figures.hpp
@@ -14,7 +14,7 @@
 /// By engine_key().
 using EngineSpeeds = std::map<std::int32_t, wire::EngineSpeed>;
 
-struct ToldFigures {
+struct NodeStats {
   CountByKey loads;     ///< requests in flight, by engine
   CountByKey failures;  ///< in a row, by engine
   EngineSpeeds speeds;
@@ -24,13 +24,13 @@
 
   /// Adds all but the tenants, whose share depends on their age (add_usages()). Speeds become the
   /// mean weighted by samples.
-  void add(const ToldFigures& other);
+  void add(const NodeStats& other);
 };
 
-ToldFigures figures_of(const wire::Beacon& beacon);
-ToldFigures figures_of(const wire::ZoneSummary& summary);
+NodeStats extract_stats(const wire::Beacon& beacon);
+NodeStats extract_stats(const wire::ZoneSummary& summary);
 /// Writes the figures into a summary.
-void tell(const ToldFigures& figures, wire::ZoneSummary& summary);
+void write_stats(const NodeStats& stats, wire::ZoneSummary& summary);
 
 /// Adds counts key by key.
 void add_counts(const CountByKey& counts, CountByKey& sum);
--- a/src/readiness/fleet_view.cpp
+++ b/src/readiness/fleet_view.cpp
@@ -22,7 +22,7 @@
                       net::Millis silence) {
   ReadinessView view;
   for (const auto& [node, peer] : directory.peers()) {
-    if (!peer.told_of_itself) continue;
+    if (!peer.has_reported) continue;
     add(peer, now, silence, peer.zone == directory.zone() ? view.own_zone : view.other_zones);
   }
   return view;
@@ -31,7 +31,7 @@
 std::map<std::string, net::TimePoint> newest_signs(const cluster::PeerDirectory& directory) {
   std::map<std::string, net::TimePoint> newest;
   for (const auto& [node, peer] : directory.peers()) {
-    if (!peer.told_of_itself || peer.zone == directory.zone()) continue;
+    if (!peer.has_reported || peer.zone == directory.zone()) continue;
     auto& sign = newest[peer.zone];
     sign = std::max(sign, peer.last_heard);
   }
--- a/src/serving/engine_picture.cpp
+++ b/src/serving/engine_picture.cpp
@@ -34,7 +34,7 @@
 void EnginePicture::take_speeds(net::TimePoint now) {
   if (now < speeds_taken_at_ + balancing::kSpeedReading) return;
   speeds_taken_at_ = now;
-  const auto told = state_.peers.figures(now, state_.beacons.silence_limit()).speeds;
+  const auto told = state_.peers.live_stats(now, state_.beacons.silence_limit()).speeds;
   const auto engines = state_.engines.all();
   double slowest = balancing::kMostPermille / kPermille;
   double fastest = 0;
@@ -89,7 +89,7 @@
   if (state_.routes == nullptr || now < prompts_placed_at_ + kPromptInterval) return;
   prompts_placed_at_ = now;
   auto counts = state_.prompt_demand.told(now);
-  cluster::add_counts(state_.peers.figures(now, state_.beacons.silence_limit()).prompts, counts);
+  cluster::add_counts(state_.peers.live_stats(now, state_.beacons.silence_limit()).prompts, counts);
   std::size_t prompts = 0;
   std::size_t copies = 0;
   for (const auto& service : state_.routes->configuration().services) {
--- a/src/serving/node_state.hpp
+++ b/src/serving/node_state.hpp
@@ -69,7 +69,7 @@
     ledger.turns.set_overlapping(settings.mechanisms.holding);
     peers.set_incarnation(incarnation);
     beacons.set_usage_window(settings.quota_bounds.window);
-    beacons.set_urgent([this] { return quotas.wants_to_tell(); });
+    beacons.set_urgent_check([this] { return quotas.wants_to_tell(); });
   }
 
   /// What this node tells its peers.
@@ -100,8 +100,8 @@
     message.__set_sent_ms(std::chrono::duration_cast<net::Millis>(now.time_since_epoch()).count());
     const auto uptime = std::chrono::duration_cast<net::Millis>(now - started_at);
     if (uptime < kToldUptime) message.__set_uptime_ms(static_cast<std::int32_t>(uptime.count()));
-    const auto silent = peers.silent_to_pass_on(now, beacons.silence_limit(),
-                                                settings.quota_bounds.window, silent_turn++);
+    const auto silent = peers.silent_processes_to_relay(
+        now, beacons.silence_limit(), settings.quota_bounds.window, silent_turn++);
     if (!silent.empty()) message.__set_silent(silent);
     return message;
   }
@@ -111,7 +111,7 @@
   void note_running(net::TimePoint now) {
     if (stalls.stalled(now, kLongestUpkeep)) {
       const auto since = stalls.ticked_at();
-      peers.note_standstill(since, now, beacons.silence_limit());
+      peers.note_stall(since, now, beacons.silence_limit());
       log.event("stood_still")
           .with("for_ms", std::chrono::duration_cast<net::Millis>(now - since).count());
     }
--- a/src/serving/store_feeds.cpp
+++ b/src/serving/store_feeds.cpp
@@ -73,7 +73,7 @@
   store::FollowerCallbacks callbacks;
   callbacks.on_whole = [this](const std::vector<store::Row>& rows) {
     for (const auto& row : rows) take_peer(row);
-    state_.peers.note_complete();
+    state_.peers.mark_complete();
   };
   callbacks.on_change = [this](const store::Row& row) { take_peer(row); };
   callbacks.on_contact = [](bool) {};
--- a/tests/cluster/beacon_codec_test.cpp
+++ b/tests/cluster/beacon_codec_test.cpp
@@ -54,7 +54,7 @@
   for (int tenant = 0; tenant < 400; ++tenant) silent.tenants[tenant * 1'000'003].window = 1000;
   beacon.__set_silent({silent});
   const auto bytes = cluster::encode_beacon(beacon);
-  REQUIRE(bytes.size() <= cluster::kMostBeaconBytes);
+  REQUIRE(bytes.size() <= cluster::kMaxBeaconBytes);
   const auto told = wire::decode<wire::Beacon>(bytes);
   REQUIRE(told.summary.members.size() == 50);
   REQUIRE(told.summary.tenants.at(1).window == 100);
@@ -74,7 +74,7 @@
   }
   beacon.__isset.tenants = true;
   const auto bytes = cluster::encode_beacon(beacon);
-  REQUIRE(bytes.size() <= cluster::kMostBeaconBytes);
+  REQUIRE(bytes.size() <= cluster::kMaxBeaconBytes);
   const auto told = wire::decode<wire::Beacon>(bytes);
   REQUIRE(told.summary.loads.empty());
   REQUIRE(told.tenants.size() == kTenants);
--- a/tests/cluster/fleet_usage_test.cpp
+++ b/tests/cluster/fleet_usage_test.cpp
@@ -173,9 +173,9 @@
   const auto told_at = now + net::Millis(1000);
   directory.on_beacon(message, told_at);
   const auto lost_at = told_at + net::Millis(1000);
-  REQUIRE(directory.silent_to_pass_on(lost_at, kSilence, kWindow, 0).empty());
+  REQUIRE(directory.silent_processes_to_relay(lost_at, kSilence, kWindow, 0).empty());
   directory.put("new", row(7, "here"), lost_at);
-  const auto lost = directory.silent_to_pass_on(lost_at, kSilence, kWindow, 0);
+  const auto lost = directory.silent_processes_to_relay(lost_at, kSilence, kWindow, 0);
   REQUIRE(lost.size() == 1);
   REQUIRE(lost[0].incarnation == 1);
 
--- a/tests/cluster/peer_directory_test.cpp
+++ b/tests/cluster/peer_directory_test.cpp
@@ -53,13 +53,13 @@
   REQUIRE_FALSE(directory.heard(1, woke, kSilence));
   constexpr int kShards = 40;
   REQUIRE(directory.shards_to_claim({}, kShards, woke, kSilence).size() == kShards);
-  directory.note_standstill(now + net::Millis(100), woke, kSilence);
+  directory.note_stall(now + net::Millis(100), woke, kSilence);
   REQUIRE(directory.heard(1, woke, kSilence));
   REQUIRE(directory.shards_to_claim({}, kShards, woke, kSilence).size() < kShards);
   // Whoever is not heard from then on is lost.
   REQUIRE_FALSE(directory.heard(1, woke + kSilence, kSilence));
   // One that was lost before a standstill stays so.
-  directory.note_standstill(woke + 2 * kSilence, woke + 3 * kSilence, kSilence);
+  directory.note_stall(woke + 2 * kSilence, woke + 3 * kSilence, kSilence);
   REQUIRE_FALSE(directory.heard(1, woke + 3 * kSilence, kSilence));
 }
 
@@ -181,17 +181,17 @@
   second.escrow_shards = {7};
   second.loads[cluster::engine_key("e")] = 4;
   there.on_beacon(second, now);
-  const auto told_at = now + net::Millis(300);
-  const auto summary = there.summarize_zone(beacon(2), told_at, kSilence, kWindow);
+  const auto sent_at = now + net::Millis(300);
+  const auto summary = there.summarize_zone(beacon(2), sent_at, kSilence, kWindow);
   REQUIRE(summary.members.size() == 2);
 
   directory.put("far-2", row(3, "there"), now - net::Millis(10'000));
-  directory.on_summary(summary, told_at);
+  directory.on_summary(summary, sent_at);
   const auto* peer = directory.find(3);
   REQUIRE(peer->last_heard == now);
   REQUIRE(peer->escrow_shards == std::set<int>{7});
-  REQUIRE(directory.shard_owner(7, told_at, kSilence)->node == "far-2");
-  REQUIRE(directory.loads(told_at, kSilence).at("e") == 4);
+  REQUIRE(directory.shard_owner(7, sent_at, kSilence)->node == "far-2");
+  REQUIRE(directory.loads(sent_at, kSilence).at("e") == 4);
 }
 
 TEST_CASE_METHOD(DirectoryFixture, "a summary does not take what is known back", "[cluster]") {
@@ -245,7 +245,7 @@
   summary.__set_begun({{7, 3}});
   directory.on_summary(summary, now);
   REQUIRE(directory.begun(now, kSilence) == cluster::CountByKey{{7, 5}, {8, 1}});
-  REQUIRE(directory.begun(now, kSilence) == directory.figures(now, kSilence).begun);
+  REQUIRE(directory.begun(now, kSilence) == directory.live_stats(now, kSilence).begun);
   REQUIRE(directory.begun(now + kSilence * 2, kSilence).empty());
 }
 
--- a/tests/cluster/told_figures_test.cpp
+++ b/tests/cluster/told_figures_test.cpp
@@ -34,12 +34,12 @@
   first.failures[1] = 1;
   wire::Beacon second = first;
   second.speeds[1] = speed(500, 2);
-  cluster::ToldFigures sum;
-  sum.add(cluster::figures_of(first));
-  sum.add(cluster::figures_of(second));
+  cluster::NodeStats sum;
+  sum.add(cluster::extract_stats(first));
+  sum.add(cluster::extract_stats(second));
   wire::ZoneSummary summary;
-  cluster::tell(sum, summary);
-  const auto told = cluster::figures_of(summary);
+  cluster::write_stats(sum, summary);
+  const auto told = cluster::extract_stats(summary);
   REQUIRE(told.loads.at(1) == 6);
   REQUIRE(told.failures.at(1) == 2);
   REQUIRE(told.prompts.at(7) == 4);
