--- a/src/cluster/beacon_codec.cpp
+++ b/src/cluster/beacon_codec.cpp
@@ -52,12 +52,13 @@
   }
 }
 
-/// What is left out, the least needed first; each from a beacon and from its summary.
+/// Drops one kind of field from a beacon and from its summary.
 struct DroppableField {
   void (*from_beacon)(wire::Beacon&);
   void (*from_summary)(wire::ZoneSummary&);
 };
 
+/// The least important field comes first.
 constexpr std::array kDropOrder{
     DroppableField{&drop_prompts, &drop_prompts},
     DroppableField{&drop_speeds, &drop_speeds},
--- a/src/cluster/beacon_codec.hpp
+++ b/src/cluster/beacon_codec.hpp
@@ -1,4 +1,4 @@
-/// @file Beacons as datagrams.
+/// @file Encoding of beacons as datagrams.
 #pragma once
 
 #include <cstddef>
@@ -8,13 +8,14 @@
 
 namespace sailgate::cluster {
 
-/// Largest datagram of a beacon. Larger ones would be cut by the receiver and count as lost, which
-/// makes their sender, or with a summary its whole zone, look dead.
+/// Maximum size of a beacon's datagram. The receiver truncates larger ones and cannot decode them,
+/// so that their sender, or with a summary its whole zone, would look dead.
 inline constexpr std::size_t kMaxBeaconBytes = 8192;
 
-/// Encodes a beacon and its summary within kMostBeaconBytes. What only saves time is left out
-/// first, one kind of figure after the other: shared prompts, speeds of engines, programs begun,
-/// failures, loads. Who lives and what tenants were let through is always told: limits rest on it.
+/// Encodes a beacon and its summary. While the result exceeds kMaxBeaconBytes, less important
+/// fields are dropped one kind after the other: shared prompts, engine speeds, programs begun,
+/// failures, silent processes, loads, and last the split of tenants' usage by age. Liveness and the
+/// tenants' usage over the window are always sent, because limits depend on them.
 std::string encode_beacon(wire::Beacon beacon);
 
 }  // namespace sailgate::cluster
--- a/src/cluster/beacon_sender.cpp
+++ b/src/cluster/beacon_sender.cpp
@@ -8,27 +8,29 @@
 
 namespace {
 
-/// Time between two beacons to the same peer while there are few peers.
+/// Duration of a round while there are few peers.
 constexpr net::Millis kMinRoundTime{200};
-/// Urgent news goes out after this, or with many peers after as long as they would take anyway.
+/// Minimum time between two beacons, which delays urgent ones. With more than 6 peers it is
+/// kTimePerPeer for each.
 constexpr net::Millis kMinSendGap{20};
-/// With many peers a round takes this long for each of them.
+/// With many peers, a round takes this long for each of them.
 constexpr net::Millis kTimePerPeer{3};
-/// Lost datagrams that do not yet mean a lost peer.
+/// A peer counts as lost after this many rounds without a beacon from it.
 constexpr int kMissedBeaconsBeforeLost = 4;
-/// With more peers than these a round over all of them would take longer than the shortest one.
+/// With more peers, a round over all of them would take longer than kMinRoundTime.
 constexpr std::size_t kMaxDirectPeers = 66;
-/// The nodes of a zone together send a summary to each other zone about this often, at times that
-/// they draw independently.
+/// Mean interval at which the nodes of a zone together send a summary to each other zone. Each node
+/// draws its times independently.
 constexpr net::Millis kSummaryInterval{150};
-/// A summary that comes sooner after the last one of its zone is not passed on.
+/// A summary that arrives sooner after the last relayed one of its zone is not relayed.
 constexpr net::Millis kMinRelayInterval{150};
-/// What is known of a node of another zone is this much older at most: eight summaries missed in a
-/// row, which happens once in three thousand gaps.
+/// Maximum additional age of what is known about nodes of other zones: eight mean summary
+/// intervals. A longer gap occurs once in about 3000 gaps.
 constexpr net::Millis kMaxSummaryAge{1200};
-/// A process that sent nothing for so many rounds stood still.
+/// A process that sent nothing for this many rounds was stalled.
 constexpr int kStallRounds = 3;
-/// A summary that waited longer to be read is not passed on: it would pass for news.
+/// A summary that was read later than this after it was sent is not relayed, because the receivers
+/// would take it for current.
 constexpr net::Millis kMaxRelayDelay{150};
 
 }  // namespace
@@ -71,15 +73,15 @@
 
 void BeaconSender::send_to(const net::Endpoint& endpoint, const std::string& bytes) {
   const net::asio::ip::udp::endpoint receiver(endpoint.address(), endpoint.port());
-  // A lost beacon is made up for by the next one.
+  // Send errors are ignored: the next beacon replaces a lost one.
   net::Error ignored;
   socket_.send_to(net::asio::buffer(bytes), receiver, 0, ignored);
 }
 
 void BeaconSender::send_to_all(const std::string& bytes) {
   for (const auto* peer : receivers()) send_to(peer->endpoint, bytes);
-  // A process that has left decides on callers' requests until it ends: without news it would
-  // either let too many through or refuse those that limits allow.
+  // A departed process keeps admitting requests until it ends. Without beacons it would either
+  // exceed the limits or refuse requests that they allow.
   for (const auto* peer : directory_.departed().serving(net::Clock::now(), silence_limit())) {
     if (!summarizes() || peer->zone == directory_.zone()) send_to(peer->endpoint, bytes);
   }
@@ -128,8 +130,8 @@
   }
   std::vector<const Peer*> chosen;
   for (const auto& [zone, candidates] : by_zone) {
-    // Two zones that were cut off from each other take each other's nodes for lost: somebody has to
-    // be the first to speak again.
+    // After a partition, two zones count each other's nodes as lost. Sending to nodes that count as
+    // lost lets them find each other again.
     const auto& from = candidates.live.empty() ? candidates.all : candidates.live;
     chosen.push_back(from[random_.below(from.size())]);
   }
@@ -141,11 +143,11 @@
     co_await net::sleep_for(context_, summarizes() ? draw_summary_delay() : kMinRoundTime);
     const auto now = net::Clock::now();
     stalls_.tick(now, round_time() * kStallRounds);
-    // Until a round of the zone's beacons has come, the summary of a node that stood still or has
-    // just begun would tell the other zones of the time before, or of itself alone.
-    const bool heard_half_of_zone = !stalls_.resumed_within(round_time(), now) &&
-                                    directory_.heard_half_of_zone(now, silence_limit());
-    if (!summarizes() || !heard_half_of_zone) continue;
+    // A node that was stalled or has just started must first receive a round of its zone's beacons:
+    // its summary would otherwise be outdated or cover only itself.
+    const bool has_zone_view = !stalls_.resumed_within(round_time(), now) &&
+                               directory_.heard_half_of_zone(now, silence_limit());
+    if (!summarizes() || !has_zone_view) continue;
     auto beacon = compose_();
     beacon.__set_summary(directory_.summarize_zone(beacon, now, silence_limit(), usage_window_));
     const auto bytes = encode_beacon(std::move(beacon));
@@ -183,7 +185,7 @@
     try {
       take(wire::decode<wire::Beacon>(std::string(datagram_.data(), size)));
     } catch (const std::exception&) {
-      // Not a beacon: ignored.
+      // Datagrams that are not beacons are ignored.
     }
   }
 }
--- a/src/cluster/beacon_sender.hpp
+++ b/src/cluster/beacon_sender.hpp
@@ -1,4 +1,4 @@
-/// @file Beacons between nodes, by UDP.
+/// @file Exchange of beacons between nodes over UDP.
 #pragma once
 
 #include <array>
@@ -15,53 +15,54 @@
 
 namespace sailgate::cluster {
 
-/// Few nodes tell each other everything directly: a beacon from each to each. In larger fleets a
-/// node sends its beacons to its own zone, and now and then a summary of its zone to one node of
-/// each other zone, which passes it on to its own zone.
+/// In a small fleet every node sends its beacons to every other node. In a larger fleet a node
+/// sends them to its own zone only, and at random intervals sends a summary of its zone to one node
+/// of each other zone, which relays it within that zone.
 ///
-/// With 295 nodes in 6 zones a beacon from each to each took 8 MB a second between zones, for loads
-/// that were up to 0.9 s old and losses noticed after 3.5 s. Summaries take 0.2 MB a second (worked
-/// out from their size and number) for loads up to 0.4 s old and losses noticed after 2 s.
+/// With 295 nodes in 6 zones, beacons from every node to every other took 8 MB/s between zones,
+/// with loads up to 0.9 s old and losses detected after 3.5 s. Summaries take 0.2 MB/s (computed
+/// from their size and rate), with loads up to 0.4 s old and losses detected after 2 s.
 class BeaconSender {
  public:
-  /// @param compose gives the beacon as of now.
+  /// @param compose returns the current beacon of this node.
   /// @throws boost::system::system_error when the address cannot be bound.
   BeaconSender(net::asio::io_context& context, const net::Endpoint& endpoint,
                PeerDirectory& directory, std::function<wire::Beacon()> compose, std::uint64_t seed);
 
-  /// Window over which tenants' limits count.
+  /// Sets the sliding window of the tenants' limits.
   void set_usage_window(net::Millis window) { usage_window_ = window; }
 
-  /// Asked between rounds, in fleets where nodes tell each other everything directly: whether
-  /// there is something to tell that should not wait for the next one.
+  /// Sets a callback that is polled between rounds and starts the next round early if it returns
+  /// true. In fleets that use summaries it is polled only at the end of a round.
   void set_urgent_check(std::function<bool()> urgent) { urgent_ = std::move(urgent); }
 
-  /// Time in which each of so many peers gets one beacon.
+  /// Duration of a round, in which each of `peers` peers is sent one beacon.
   static net::Millis round_time(std::size_t peers);
-  /// Least time between two beacons to so many peers.
+  /// Minimum time between two beacons when there are `peers` peers.
   static net::Millis min_send_gap(std::size_t peers);
 
   void start();
-  /// A peer that was silent for this long is taken for lost.
+  /// Time without a beacon after which a peer counts as lost.
   net::Millis silence_limit() const;
 
  private:
   net::asio::awaitable<void> send();
-  /// Until the next round, or something urgent.
+  /// Waits until the next round is due or the urgent check returns true.
   net::asio::awaitable<void> wait_for_round();
   net::asio::awaitable<void> send_summaries();
   net::asio::awaitable<void> receive();
   void take(const wire::Beacon& beacon);
-  /// Whether all peers are too many to be told directly.
+  /// Whether there are too many peers to send beacons to all of them directly.
   bool summarizes() const;
-  /// Peers that get this node's beacons directly.
+  /// Peers that are sent this node's beacons directly.
   std::vector<const Peer*> receivers() const;
-  /// Sends to all receivers, and to processes that have left and serve on.
+  /// Sends to all receivers, and to departed processes that are still serving.
   void send_to_all(const std::string& bytes);
   void send_to(const net::Endpoint& endpoint, const std::string& bytes);
   net::Millis round_time() const { return round_time(receivers().size()); }
+  /// Random time until this node sends its next summary.
   net::Millis draw_summary_delay();
-  /// One node of each other zone.
+  /// Picks one node of each other zone at random.
   std::vector<const Peer*> summary_receivers();
 
   net::asio::io_context& context_;
@@ -72,7 +73,7 @@
   base::Random random_;
   StallDetector stalls_;
   net::Millis usage_window_{5000};
-  std::map<std::string, net::TimePoint> relayed_at_;  ///< by zone: its summary, by this node
+  std::map<std::string, net::TimePoint> relayed_at_;  ///< last relay of each zone's summary
   std::array<char, kMaxBeaconBytes> datagram_{};
 };
 
--- a/src/cluster/departed_peers.cpp
+++ b/src/cluster/departed_peers.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// More than any window over which limits count.
+/// Longer than any window of a limit.
 constexpr net::Millis kRetentionPeriod{60'000};
 
 }  // namespace
@@ -26,8 +26,8 @@
 
 void DepartedPeers::evict_expired(net::TimePoint now) {
   for (auto entry = peers_.begin(); entry != peers_.end();) {
-    const bool over = now >= entry->second.last_heard + kRetentionPeriod;
-    entry = over ? peers_.erase(entry) : std::next(entry);
+    const bool expired = now >= entry->second.last_heard + kRetentionPeriod;
+    entry = expired ? peers_.erase(entry) : std::next(entry);
   }
 }
 
--- a/src/cluster/departed_peers.hpp
+++ b/src/cluster/departed_peers.hpp
@@ -1,4 +1,4 @@
-/// @file Processes that have left, or were replaced.
+/// @file Processes that have left the fleet or were replaced.
 #pragma once
 
 #include <cstdint>
@@ -14,31 +14,32 @@
 struct DepartedPeer {
   std::string node;
   std::string zone;
-  net::Endpoint endpoint;  ///< its beacons are answered while it serves on
+  net::Endpoint endpoint;  ///< it still receives beacons while it drains
   net::TimePoint last_heard{};
-  TenantUsages tenants;         ///< what it let through: that lies in the window for a while
-  net::TimePoint left_at{};     ///< heard of as a peer until then
-  bool replaced = false;        ///< another process has its place: it has ended
-  bool reported = false;        ///< of itself: what it let through until it was last heard is known
-  net::TimePoint started_at{};  ///< of its process; a time long ago is not told
+  TenantUsages tenants;      ///< requests it admitted, which stay in the limits' window for a while
+  net::TimePoint left_at{};  ///< end of the time in which it was heard as a peer
+  bool replaced = false;     ///< a new process of the node has started, so this one has ended
+  bool reported = false;     ///< its usage until last_heard is known
+  net::TimePoint started_at{};  ///< start of its process; a start long ago is not reported
 };
 
-/// What departed processes tell counts on: they may still be serving. Deterministic, not
-/// thread-safe.
+/// Keeps the usage of departed processes, which still counts against limits: they may still be
+/// serving. Deterministic, not thread-safe.
 class DepartedPeers {
  public:
-  /// Also one that has told nothing: it may have begun to serve a moment ago.
+  /// Adds a process, even one that has reported nothing: it may have just started to serve.
   void add(std::int64_t incarnation, DepartedPeer peer);
-  /// It is a peer after all.
+  /// Removes a process that turned out to be a current peer.
   void erase(std::int64_t incarnation) { peers_.erase(incarnation); }
-  /// A beacon came from it. @return whether it is known.
+  /// Applies a beacon of a departed process. @return whether the process is known.
   bool on_beacon(std::int64_t incarnation, const TenantUsages& tenants, net::TimePoint heard_at);
-  /// Forgets those that were heard of so long ago that nothing of them lies in any window.
+  /// Removes processes last heard so long ago that none of their requests lies in any window.
   void evict_expired(net::TimePoint now);
-  /// Of the time between `from` and `until`, that of which no process of the node told.
+  /// Length of the part of [`from`, `until`] that no report of a departed process of the node
+  /// covers.
   net::Millis unreported_time(const std::string& node, net::TimePoint from,
                               net::TimePoint until) const;
-  /// Those that serve on, by when they were heard.
+  /// Processes that were heard within `silence` and not replaced, and so are still serving.
   std::vector<const DepartedPeer*> serving(net::TimePoint now, net::Millis silence) const;
 
   const std::unordered_map<std::int64_t, DepartedPeer>& all() const { return peers_; }
--- a/src/cluster/engine_loads.hpp
+++ b/src/cluster/engine_loads.hpp
@@ -1,4 +1,4 @@
-/// @file Requests that nodes have in flight at engines.
+/// @file In-flight requests of nodes by engine.
 #pragma once
 
 #include <cstdint>
@@ -8,14 +8,15 @@
 
 namespace sailgate::cluster {
 
-/// Short key of an engine, for beacons: two engines share one about once in four thousand millions,
-/// and then only seem busier than they are.
+/// 32-bit hash of an engine id, used in beacons. Two engines collide with a probability of about
+/// one in four billion; a collision only makes both look busier than they are.
 std::int32_t engine_key(const std::string& engine_id);
 
-/// Sum over several nodes.
+/// Sums counts by engine over several nodes.
 class EngineLoads {
  public:
   void add(const std::map<std::int32_t, std::int32_t>& loads);
+  /// Total of an engine; 0 if none was added.
   int at(const std::string& engine_id) const;
 
  private:
--- a/src/cluster/news_age.hpp
+++ b/src/cluster/news_age.hpp
@@ -1,4 +1,4 @@
-/// @file How much what a node told still says of it.
+/// @file Weight of a node's last report by its age.
 #pragma once
 
 #include <algorithm>
@@ -7,23 +7,27 @@
 
 namespace sailgate::cluster {
 
-/// News counts whole up to an age, and less and less until it counts as no news. Limits rest on
-/// it: before a peer counts as lost, nodes on both sides of a cut would each take what is left. By
-/// steps instead of all at once, so that a few lost beacons in a row do not refuse callers.
+/// A report has full weight up to one age and a weight that falls linearly to 0 until another.
+///
+/// Rate limits depend on this weight: without it, the nodes on both sides of a network partition
+/// would each use up the rest of a limit until they count each other as lost. The weight falls
+/// gradually so that a few lost beacons in a row do not cause callers to be refused.
 struct FreshnessDecay {
-  net::Millis full_weight_until{0};  ///< up to this age it counts whole
-  net::Millis zero_weight_from{0};   ///< from this age on it says nothing
+  net::Millis full_weight_until{0};  ///< up to this age the weight is 1
+  net::Millis zero_weight_from{0};   ///< from this age on the weight is 0
 
-  /// @param silence longest time between a peer's beacons; see BeaconSender::silence_limit().
+  /// Scales the decay to the time after which a peer counts as lost.
+  /// @param silence see BeaconSender::silence_limit().
   static FreshnessDecay within(net::Millis silence) {
-    // Ages of 0.2 s are usual where 0.8 s of silence mean a lost peer, 0.5 s where 2 s do.
+    // Typical ages are 0.2 s where a peer counts as lost after 0.8 s, and 0.5 s where it does after
+    // 2 s.
     constexpr int kParts = 8;
     constexpr int kFullWeightParts = 3;
     constexpr int kZeroWeightParts = 5;
     return {silence * kFullWeightParts / kParts, silence * kZeroWeightParts / kParts};
   }
 
-  /// From 1 (it counts whole) to 0.
+  /// Weight of a report of this age, between 0 and 1.
   double weight(net::Millis age) const {
     if (age <= full_weight_until) return 1;
     if (age >= zero_weight_from) return 0;
--- a/src/cluster/peer_clients.hpp
+++ b/src/cluster/peer_clients.hpp
@@ -1,4 +1,4 @@
-/// @file Kept HTTP connections to other nodes.
+/// @file Persistent HTTP connections to other nodes.
 #pragma once
 
 #include <memory>
@@ -10,12 +10,13 @@
 
 namespace sailgate::cluster {
 
-/// One client for each peer's incarnation. Not thread-safe.
+/// Keeps one HTTP client per peer incarnation. Not thread-safe.
 class PeerClients {
  public:
   explicit PeerClients(net::asio::io_context& context) : context_(context) {}
 
-  /// Calls under way share the client: it is replaced when the peer comes back anew.
+  /// Returns the client of the peer's current incarnation. Calls in flight share ownership of their
+  /// client, so that replacing it after the peer restarted does not disturb them.
   std::shared_ptr<net::HttpClient> get(const Peer& peer);
 
  private:
@@ -28,10 +29,10 @@
   std::unordered_map<std::string, Client> clients_;
 };
 
-/// A call to a peer. @param body in Thrift's compact encoding.
+/// Builds a POST request to a peer. @param body in Thrift's compact encoding.
 net::TextRequest peer_request(const char* path, std::string body);
 
-/// Whether a peer answered a call with success.
+/// Whether the exchange completed with status 200.
 bool succeeded(const net::ExchangeResult& exchange);
 
 }  // namespace sailgate::cluster
--- a/src/cluster/peer_directory.cpp
+++ b/src/cluster/peer_directory.cpp
@@ -8,25 +8,26 @@
 
 namespace {
 
+/// Time after a failed call during which a peer is not used.
 constexpr net::Millis kSuspicionPeriod{600};
 
 std::uint64_t rendezvous_weight(const std::string& key, const std::string& node) {
   return XXH64(key.data(), key.size(), XXH64(node.data(), node.size(), 0));
 }
 
-/// Starts that lie longer ago are not told: they are beyond every window over which limits count.
+/// Longer uptimes are not reported: the start lies outside every window of a limit.
 constexpr net::Millis kMaxReportedUptime{60'000};
 
 net::Millis between(net::TimePoint earlier, net::TimePoint later) {
   return std::chrono::duration_cast<net::Millis>(later - earlier);
 }
 
-/// Start of a process that told its uptime at `heard_at`; long ago when it told none.
+/// Start of a process that reported its uptime at `heard_at`; the epoch if it reported none.
 net::TimePoint start_time_of(bool has_uptime, std::int32_t uptime_ms, net::TimePoint heard_at) {
   return has_uptime ? heard_at - net::Millis(uptime_ms) : net::TimePoint{};
 }
 
-/// Takes over what a node tells of itself.
+/// Applies what a node reports about itself.
 void apply_beacon(const wire::Beacon& beacon, net::TimePoint now, Peer& peer) {
   peer.last_heard = std::max(peer.last_heard, now);
   peer.has_reported = true;
@@ -38,20 +39,20 @@
   peer.started_at = start_time_of(beacon.__isset.uptime_ms, beacon.uptime_ms, now);
 }
 
-/// Peers that began within this time are told of processes that they never heard.
+/// Peers that started within this time are sent records of processes that they never heard.
 constexpr net::Millis kNewcomerPeriod{2000};
 
-/// Tenants' figures of lost processes in one beacon, at some 20 bytes each; one process more may
-/// go beyond it.
+/// Tenant usages of silent processes in one beacon, at about 20 bytes each. The last process added
+/// may exceed the limit.
 constexpr std::size_t kMaxRelayedUsages = 60;
 
-/// A process hears of the others by then.
+/// Time after its start by which a process receives the beacons of the others.
 constexpr net::Millis kDiscoveryTime{500};
 
-/// Losses of a whole zone whose requests may lie in one window.
+/// Losses of a whole zone that are kept, because their requests may lie in the same window.
 constexpr std::size_t kMaxKeptZoneLosses = 4;
 
-/// Whether no process of the zone is as old as that.
+/// Whether all processes of the zone started after `time`.
 bool all_began_after(const wire::ZoneSummary& summary, net::TimePoint time, net::TimePoint now) {
   return std::all_of(summary.members.begin(), summary.members.end(), [&](const auto& member) {
     const auto heard_at = now - net::Millis(member.silent_ms);
@@ -134,7 +135,7 @@
   if (known == peers_.end()) return;
   const auto& peer = known->second;
   nodes_by_incarnation_.erase(peer.incarnation);
-  // Peers may have told what this node never heard of the process.
+  // A record that peers relayed is kept if this node never heard the process itself.
   if (peer.has_reported || departed_.all().count(peer.incarnation) == 0) {
     departed_.add(peer.incarnation, make_departed(peer, replaced));
   }
@@ -163,7 +164,7 @@
   auto sent_at = now;
   if (beacon.__isset.sent_ms) sent_at -= peer->lateness.of(beacon.sent_ms, now);
   for (const auto& process : beacon.silent) merge_silent_process(process, sent_at);
-  // Beacons may overtake one another.
+  // Beacons may arrive out of order.
   if (sent_at >= peer->last_heard || !peer->has_reported) apply_beacon(beacon, sent_at, *peer);
   return sent_at;
 }
@@ -202,7 +203,7 @@
                                                                           std::size_t turn) const {
   std::vector<wire::SilentProcess> candidates;
   const auto consider = [&](std::int64_t incarnation, const DepartedPeer& lost) {
-    // Sums tell of other zones' processes.
+    // Processes of other zones are covered by the summaries of their zones.
     if (zone_sums_.count(lost.zone) > 0 || now >= lost.last_heard + window) return;
     if (has_newcomers(lost.last_heard, now))
       candidates.push_back(silent_process_of(incarnation, lost, now));
@@ -287,14 +288,14 @@
 }
 
 bool PeerDirectory::heard_half_of_zone(net::TimePoint now, net::Millis silence) const {
-  std::size_t may_live = 0;
-  std::size_t told = 0;
+  std::size_t possibly_live = 0;
+  std::size_t reported = 0;
   for (const auto& [node, peer] : peers_) {
     if (peer.zone != zone_ || now >= peer.last_heard + silence) continue;
-    ++may_live;
-    if (peer.has_reported) ++told;
+    ++possibly_live;
+    if (peer.has_reported) ++reported;
   }
-  return 2 * told >= may_live;
+  return 2 * reported >= possibly_live;
 }
 
 void PeerDirectory::suspect(const std::string& node, net::TimePoint now) {
--- a/src/cluster/told_figures.cpp
+++ b/src/cluster/told_figures.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Beacons and summaries carry the same stats under the same names.
+/// Beacons and summaries carry the same statistics under the same field names.
 template <typename Message>
 NodeStats read(const Message& message) {
   NodeStats stats;
--- a/src/cluster/told_figures.hpp
+++ b/src/cluster/told_figures.hpp
@@ -1,4 +1,4 @@
-/// @file Figures that nodes tell each other, of one node or summed over a zone.
+/// @file Statistics that nodes exchange, of one node or aggregated over a zone.
 #pragma once
 
 #include <cstdint>
@@ -15,26 +15,26 @@
 using EngineSpeeds = std::map<std::int32_t, wire::EngineSpeed>;
 
 struct NodeStats {
-  CountByKey loads;     ///< requests in flight, by engine
-  CountByKey failures;  ///< in a row, by engine
+  CountByKey loads;     ///< in-flight requests by engine
+  CountByKey failures;  ///< consecutive failures by engine
   EngineSpeeds speeds;
-  CountByKey prompts;    ///< requests of the last 5 s that begin with each shared prompt
-  CountByKey begun;      ///< programs of late that were let begin, by tenant
-  TenantUsages tenants;  ///< requests that were let through
+  CountByKey prompts;    ///< requests of the last 5 s by shared prompt prefix
+  CountByKey begun;      ///< recently admitted programs by tenant
+  TenantUsages tenants;  ///< admitted requests by tenant
 
-  /// Adds all but the tenants, whose share depends on their age (add_usages()). Speeds become the
-  /// mean weighted by samples.
+  /// Adds everything except tenants' usage, whose contribution depends on its age (see
+  /// add_usages()). Speeds become the mean weighted by samples.
   void add(const NodeStats& other);
 };
 
 NodeStats extract_stats(const wire::Beacon& beacon);
 NodeStats extract_stats(const wire::ZoneSummary& summary);
-/// Writes the figures into a summary.
+/// Writes the statistics into a summary.
 void write_stats(const NodeStats& stats, wire::ZoneSummary& summary);
 
 /// Adds counts key by key.
 void add_counts(const CountByKey& counts, CountByKey& sum);
-/// Mean of both for each engine, weighted by samples.
+/// Merges speeds into `sum` as the mean per engine, weighted by samples.
 void add_speeds(const EngineSpeeds& speeds, EngineSpeeds& sum);
 
 }  // namespace sailgate::cluster
