--- a/tests/cluster/beacon_codec_test.cpp
+++ b/tests/cluster/beacon_codec_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A zone of 50 nodes before so many engines, all of which it uses.
+/// Beacon with the summary of a zone of 50 nodes that uses `engines` engines.
 wire::Beacon beacon_of_zone(int engines) {
   wire::Beacon beacon;
   beacon.incarnation = 7;
@@ -40,14 +40,14 @@
 
 }  // namespace
 
-TEST_CASE("a beacon that fits is told whole") {
+TEST_CASE("a beacon that fits in a datagram is encoded completely") {
   const auto beacon = beacon_of_zone(100);
   const auto told = wire::decode<wire::Beacon>(cluster::encode_beacon(beacon));
   REQUIRE(told.summary.speeds.size() == 100);
   REQUIRE(told.summary.loads.size() == 100);
 }
 
-TEST_CASE("a beacon that is too large leaves out what only saves time") {
+TEST_CASE("a beacon that is too large drops less important fields") {
   const int engines = GENERATE(600, 3000);
   auto beacon = beacon_of_zone(engines);
   wire::SilentProcess silent;
@@ -60,11 +60,11 @@
   REQUIRE(told.summary.tenants.at(1).window == 100);
   REQUIRE(told.summary.speeds.empty());
   REQUIRE_FALSE(told.__isset.silent);
-  // 600 engines' loads fit without the speeds.
+  // The loads of 600 engines fit once the speeds are dropped.
   REQUIRE(told.summary.loads.empty() == (engines == 3000));
 }
 
-TEST_CASE("requests by age are left out last, and those of the window never") {
+TEST_CASE("usage by age is dropped last, and usage over the window never") {
   constexpr int kTenants = 400;
   auto beacon = beacon_of_zone(100);
   for (int tenant = 0; tenant < kTenants; ++tenant) {
--- a/tests/cluster/beacon_lateness_test.cpp
+++ b/tests/cluster/beacon_lateness_test.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-TEST_CASE("a beacon is late by more than the quickest of late took", "[cluster]") {
+TEST_CASE("a beacon's lateness is its excess over the smallest recent clock offset", "[cluster]") {
   BeaconLateness lateness;
   REQUIRE(lateness.of(0, kStart + net::Millis(5)) == net::Millis(0));
   REQUIRE(lateness.of(200, kStart + net::Millis(202)) == net::Millis(0));
@@ -20,7 +20,7 @@
   REQUIRE(lateness.of(4600, kStart + net::Millis(4602)) == net::Millis(0));
 }
 
-TEST_CASE("clocks that drift apart do not make news look late", "[cluster]") {
+TEST_CASE("clock drift does not make beacons look late", "[cluster]") {
   BeaconLateness lateness;
   // The sender's clock loses 0.1 ms a second, 360 ms in an hour.
   for (std::int64_t ms = 0; ms < 3'600'000; ms += 200) {
@@ -29,7 +29,7 @@
   }
 }
 
-TEST_CASE("beacons that waited through a standstill of minutes are late", "[cluster]") {
+TEST_CASE("beacons queued during a stall of minutes are late", "[cluster]") {
   BeaconLateness lateness;
   for (std::int64_t ms = 0; ms < 60'000; ms += 200) lateness.of(ms, kStart + net::Millis(ms));
   const auto woke = kStart + net::Millis(300'000);
--- a/tests/cluster/beacon_sender_test.cpp
+++ b/tests/cluster/beacon_sender_test.cpp
@@ -39,7 +39,7 @@
   BeaconSender sender;
 };
 
-/// A fleet on loopback in which every node has read the rows of all others.
+/// Fleet on loopback in which every node has read the rows of all others.
 struct Fleet {
   net::asio::io_context context;
   std::vector<std::unique_ptr<Node>> nodes;
@@ -65,7 +65,7 @@
   void start() {
     for (const auto& node : nodes) node->sender.start();
   }
-  /// Whether a node has heard, first hand or not, of all others since the start.
+  /// Whether a node has heard all others since the start, by beacons or summaries.
   bool knows_all(const Node& node) const {
     const auto& peers = node.directory.peers();
     return std::all_of(peers.begin(), peers.end(), [](const auto& entry) {
@@ -80,7 +80,7 @@
 
 }  // namespace
 
-TEST_CASE("in a small fleet all nodes hear each other", "[cluster]") {
+TEST_CASE("in a small fleet all nodes receive each other's beacons", "[cluster]") {
   Fleet fleet(2, 3);
   fleet.start();
   test::run_until(fleet.context, [&] { return fleet.all_know_all(); });
@@ -89,7 +89,7 @@
   }
 }
 
-TEST_CASE("in a large fleet nodes know of other zones by their summaries", "[cluster]") {
+TEST_CASE("in a large fleet nodes learn about other zones from summaries", "[cluster]") {
   constexpr int kZones = 3;
   constexpr int kNodes = 24;
   Fleet fleet(kZones, kNodes);
@@ -101,7 +101,7 @@
   }
 }
 
-TEST_CASE("zones that took each other for lost find each other again", "[cluster]") {
+TEST_CASE("zones that count each other as lost find each other again", "[cluster]") {
   Fleet fleet(3, 24);
   const auto long_ago = net::Clock::now() - net::Millis(60'000);
   for (const auto& reader : fleet.nodes) {
@@ -114,7 +114,7 @@
   test::run_until(fleet.context, [&] { return fleet.all_know_all(); });
 }
 
-TEST_CASE("a large fleet takes a lost node for lost later than a small one, by two seconds at most",
+TEST_CASE("a large fleet detects a lost node later than a small one, within two seconds",
           "[cluster]") {
   Fleet small(2, 3);
   Fleet large(3, 24);
--- a/tests/cluster/cluster_test.cpp
+++ b/tests/cluster/cluster_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A node whose way to the store can fail by itself.
+/// Node with its own connection to the store, which can fail independently of the other nodes'.
 struct Node {
   Node(net::asio::io_context& context, test::GatewayFixture& shared, const std::string& name,
        std::int64_t incarnation, MemoryTable& own_table, bool escrow = false)
@@ -42,7 +42,7 @@
   }
   net::TimePoint soon() { return net::Clock::now() + net::Millis(400); }
 
-  /// A program whose home, for both nodes, is the second one.
+  /// Name of a program whose home is the second node.
   std::string program_at_second() {
     for (int i = 0;; ++i) {
       const auto program = "program-" + std::to_string(i);
@@ -63,7 +63,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a program's home keeps its tokens", "[cluster]") {
+TEST_CASE_METHOD(Fixture, "a program's home holds its token grant", "[cluster]") {
   const auto program = program_at_second();
   const auto start = begin(first, program, 100);
   REQUIRE(start.reservation == ReserveOutcome::kReserved);
@@ -73,7 +73,8 @@
   REQUIRE(table.writes() == writes);
 }
 
-TEST_CASE_METHOD(Fixture, "the home gives the chain of a turn without a read", "[cluster]") {
+TEST_CASE_METHOD(Fixture, "the home returns the chain of a turn without reading the store",
+                 "[cluster]") {
   const auto program = program_at_second();
   const auto turn =
       std::make_shared<const ledger::Turn>(ledger::Turn{"t1", "in", "out\n", nullptr});
@@ -85,7 +86,8 @@
   REQUIRE(table.reads() == reads);
 }
 
-TEST_CASE_METHOD(Fixture, "a lost home is passed over, and the row still decides", "[cluster]") {
+TEST_CASE_METHOD(Fixture, "without its home, a program's budget is decided by its row",
+                 "[cluster]") {
   const auto program = program_at_second();
   REQUIRE(begin(first, program, 400).keeper == "second");
   first.state().peers.suspect("second", net::Clock::now() + net::Millis(60'000));
@@ -95,13 +97,13 @@
   REQUIRE(begin(first, program, 101).reservation == ReserveOutcome::kExhausted);
 }
 
-TEST_CASE_METHOD(Fixture, "tokens that another node holds idle are gathered", "[cluster]") {
+TEST_CASE_METHOD(Fixture, "tokens granted to another node but unused are reclaimed", "[cluster]") {
   const auto program = program_at_second();
   const auto start = begin(first, program, 600);
   REQUIRE(start.keeper == "second");
   first.state().turns.end({tenancy::StateKey("", program), "", 600, 100, nullptr, ""}, start);
   run_until(context, [&] {
-    // The home has settled when it can reserve again what was not used.
+    // The home has settled the turn once it can reserve the unused tokens again.
     return run(context, second.state().ledger.budgets.reserve(program, 450, 1000, soon())) ==
            ReserveOutcome::kReserved;
   });
@@ -110,8 +112,7 @@
   REQUIRE(begin(first, program, 900).reservation == ReserveOutcome::kReserved);
 }
 
-TEST_CASE_METHOD(Fixture, "a budget that was found exhausted is not read again at once",
-                 "[cluster]") {
+TEST_CASE_METHOD(Fixture, "an exhausted budget is not immediately read again", "[cluster]") {
   const auto program = program_at_second();
   REQUIRE(begin(first, program, 1000).reservation == ReserveOutcome::kReserved);
   REQUIRE(begin(first, program, 1).reservation == ReserveOutcome::kExhausted);
@@ -120,9 +121,9 @@
   REQUIRE(table.reads() == reads);
 }
 
-TEST_CASE_METHOD(Fixture, "a peer that comes back anew does not disturb calls to the old one",
+TEST_CASE_METHOD(Fixture, "a restart of a peer does not disturb calls to its old incarnation",
                  "[cluster]") {
-  // A listener that accepts and never answers stands in for the old incarnation.
+  // The old incarnation is a listener that accepts connections and never answers.
   net::asio::ip::tcp::acceptor silent(context,
                                       net::Endpoint(net::asio::ip::address_v4::loopback(), 0));
   cluster::Peer peer;
@@ -145,7 +146,8 @@
   REQUIRE(clients.get(peer) == replaced);
 }
 
-TEST_CASE_METHOD(Fixture, "messages that cannot be read are refused and end nothing", "[cluster]") {
+TEST_CASE_METHOD(Fixture, "malformed peer messages are refused and do not end the process",
+                 "[cluster]") {
   net::HttpClient client(context, first.settings.peers);
   for (const auto* path :
        {"/peer/turns/begin", "/peer/turns/end", "/peer/turns/close", "/peer/budgets/release",
@@ -161,8 +163,8 @@
   REQUIRE(exchange.response.result() == net::http::status::not_found);
 }
 
-TEST_CASE_METHOD(test::GatewayFixture, "a node that the store refuses goes through a peer",
-                 "[cluster]") {
+TEST_CASE_METHOD(test::GatewayFixture,
+                 "a node that the store refuses relays its calls through a peer", "[cluster]") {
   MemoryTable refusing(context);
   refusing.set_mode(MemoryTable::Mode::kRefuses);
   Node healthy(context, *this, "healthy", 201, table);
@@ -190,7 +192,7 @@
 
 namespace {
 
-/// Two nodes that have shared the shards of programs out.
+/// Two nodes that have claimed all program shards between them.
 struct EscrowFixture : test::GatewayFixture {
   std::unique_ptr<Node> first;
   std::unique_ptr<Node> second;
@@ -199,7 +201,7 @@
     first = std::make_unique<Node>(context, *this, "first", 101, table, true);
     second = std::make_unique<Node>(context, *this, "second", 102, table, true);
     run_until(context, [this] { return owned_by(*first) + owned_by(*second) == kShards; });
-    // Each has heard what the other one owns.
+    // Each node must know which shards the other one owns.
     run_until(context, [this] { return heard(*first, *second) && heard(*second, *first); });
   }
   static constexpr std::size_t kShards = ledger::kEscrowShards;
@@ -230,7 +232,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(EscrowFixture, "nodes share the shards out, and each program has one home",
+TEST_CASE_METHOD(EscrowFixture, "nodes divide the shards among them, and each program has one home",
                  "[cluster][escrow]") {
   REQUIRE(owned_by(*first) > kShards / 4);
   REQUIRE(owned_by(*second) > kShards / 4);
@@ -239,7 +241,7 @@
   REQUIRE(begin(*second, program, 100).keeper.empty());
 }
 
-TEST_CASE_METHOD(EscrowFixture, "any node begins programs while the store is away",
+TEST_CASE_METHOD(EscrowFixture, "any node starts programs while the store is unavailable",
                  "[cluster][escrow]") {
   table.set_mode(MemoryTable::Mode::kRefuses);
   for (auto* owner : {first.get(), second.get()}) {
@@ -251,14 +253,14 @@
       reached = start.reservation == ReserveOutcome::kReserved;
       reserved += start.reserved;
     }
-    // Of 900 tokens, 100 + 800 / 3 need no row: three turns, and most of a fourth.
+    // Of 900 tokens, 100 + 800 / 3 can be spent without a row: three turns and most of a fourth.
     REQUIRE(turns >= 4);
     REQUIRE(reserved >= 300);
     REQUIRE(reserved <= 366);
   }
 }
 
-TEST_CASE_METHOD(EscrowFixture, "only the owner says that a budget is exhausted",
+TEST_CASE_METHOD(EscrowFixture, "only the shard's owner reports a budget as exhausted",
                  "[cluster][escrow]") {
   const auto program = program_of(*second);
   for (int turn = 0; turn < 3; ++turn) {
@@ -266,27 +268,28 @@
   }
   REQUIRE(begin(*first, program, 300).reservation == ReserveOutcome::kExhausted);
   first->state().peers.suspect("second", net::Clock::now() + net::Millis(60'000));
-  // One turn more than the budget is allowed while the owner cannot be asked, and no second one.
+  // While the owner cannot be reached, one turn beyond the budget is allowed, but not a second one.
   REQUIRE(begin(*first, program, 300).reservation == ReserveOutcome::kReserved);
   REQUIRE(begin(*first, program, 300).reservation == ReserveOutcome::kUnavailable);
 }
 
-TEST_CASE_METHOD(EscrowFixture, "a stop hands the shards over", "[cluster][escrow]") {
+TEST_CASE_METHOD(EscrowFixture, "a stopping node hands over its shards", "[cluster][escrow]") {
   const auto program = program_of(*second);
   REQUIRE(begin(*second, program, 100).reservation == ReserveOutcome::kReserved);
   second->gateway->stop();
   run_until(context, [this] { return owned_by(*first) == kShards; });
   table.set_mode(MemoryTable::Mode::kRefuses);
-  // For turns of 250 the escrow is 250 + 650 / 3 tokens, of which 100 are spent.
+  // With turns of 250 tokens the escrow is 250 + 650 / 3 tokens, of which 100 are spent.
   REQUIRE(begin(*first, program, 250).reservation == ReserveOutcome::kReserved);
   REQUIRE(begin(*first, program, 250).reservation == ReserveOutcome::kUnavailable);
 }
 
-TEST_CASE_METHOD(EscrowFixture, "what a node could not judge is forgotten when it owns the shard",
+TEST_CASE_METHOD(EscrowFixture,
+                 "an undecidable reservation is not remembered as an exhausted budget",
                  "[cluster][escrow]") {
   const auto program = program_of(*second);
   first->state().peers.suspect("second", net::Clock::now() + net::Millis(60'000));
-  // The rows grant 900 + 300 - 450 tokens.
+  // The rows grant 900 + 300 - 450 tokens in total.
   REQUIRE(begin(*first, program, 300).reservation == ReserveOutcome::kReserved);
   REQUIRE(begin(*first, program, 300).reservation == ReserveOutcome::kReserved);
   REQUIRE(begin(*first, program, 300).reservation == ReserveOutcome::kUnavailable);
@@ -295,7 +298,7 @@
 
 namespace {
 
-/// A node that starts after all owners of shards were lost.
+/// Node that starts after all owners of shards were lost.
 struct LostOwnersFixture : test::GatewayFixture {
   static constexpr std::int64_t kLostOwner = 99;
   std::unique_ptr<Node> node;
@@ -323,7 +326,7 @@
 }  // namespace
 
 TEST_CASE_METHOD(LostOwnersFixture,
-                 "a program that begins after the loss of its owner has its budget",
+                 "a program that starts after the loss of its shard's owner has its full budget",
                  "[cluster][escrow]") {
   constexpr std::int64_t kTurn = 588;
   constexpr std::int64_t kTwoTurns = 2 * kTurn;
--- a/tests/cluster/directory_fixture.hpp
+++ b/tests/cluster/directory_fixture.hpp
@@ -1,4 +1,4 @@
-/// @file A node's directory with one peer in its zone and one in another.
+/// @file Fixture with a node's directory that holds one peer in its zone and one in another.
 #pragma once
 
 #include <string>
--- a/tests/cluster/engine_loads_test.cpp
+++ b/tests/cluster/engine_loads_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace sailgate;
 
-TEST_CASE("loads of several nodes add up by engine", "[cluster]") {
+TEST_CASE("loads of several nodes are summed by engine", "[cluster]") {
   cluster::EngineLoads loads;
   loads.add({{cluster::engine_key("a"), 2}, {cluster::engine_key("b"), 1}});
   loads.add({{cluster::engine_key("a"), 3}});
@@ -15,8 +15,8 @@
   REQUIRE(loads.at("c") == 0);
 }
 
-TEST_CASE("among a hundred nodes loads are known within a third of a second", "[cluster]") {
-  // NOTE: engines work on a turn for a quarter of a second; older loads are those of other turns.
+TEST_CASE("among a hundred nodes loads are at most a third of a second old", "[cluster]") {
+  // NOTE: an engine works on a turn for about 0.25 s, so much older loads describe other turns.
   REQUIRE(cluster::BeaconSender::round_time(12) <= net::Millis(200));
   REQUIRE(cluster::BeaconSender::round_time(100) <= net::Millis(333));
 }
--- a/tests/cluster/peer_directory_test.cpp
+++ b/tests/cluster/peer_directory_test.cpp
@@ -29,14 +29,14 @@
   for (const auto& [node, share] : shares) REQUIRE(share > 60);
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "nodes of other zones are no homes", "[cluster]") {
+TEST_CASE_METHOD(DirectoryFixture, "nodes of other zones are never a key's home", "[cluster]") {
   for (int i = 0; i < 50; ++i) {
     const auto home = directory.home(std::to_string(i), now, kSilence);
     if (home) REQUIRE(home->node == "near");
   }
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "a silent peer is no home until it is heard again",
+TEST_CASE_METHOD(DirectoryFixture, "a silent peer is not a key's home until it is heard again",
                  "[cluster]") {
   const auto later = now + kSilence * 2;
   for (int i = 0; i < 50; ++i) REQUIRE_FALSE(directory.home(std::to_string(i), later, kSilence));
@@ -46,7 +46,8 @@
   REQUIRE(found);
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "who lived before a standstill is not lost when it ends",
+TEST_CASE_METHOD(DirectoryFixture,
+                 "a peer that was live before a stall does not count as lost after it",
                  "[cluster]") {
   directory.on_beacon(beacon(1), now);
   const auto woke = now + net::Millis(4000);
@@ -56,14 +57,14 @@
   directory.note_stall(now + net::Millis(100), woke, kSilence);
   REQUIRE(directory.heard(1, woke, kSilence));
   REQUIRE(directory.shards_to_claim({}, kShards, woke, kSilence).size() < kShards);
-  // Whoever is not heard from then on is lost.
+  // A peer that stays silent after the stall counts as lost.
   REQUIRE_FALSE(directory.heard(1, woke + kSilence, kSilence));
-  // One that was lost before a standstill stays so.
+  // A peer that was lost before a stall stays lost.
   directory.note_stall(woke + 2 * kSilence, woke + 3 * kSilence, kSilence);
   REQUIRE_FALSE(directory.heard(1, woke + 3 * kSilence, kSilence));
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "a peer whose call failed is passed over for a while",
+TEST_CASE_METHOD(DirectoryFixture, "a peer is not used for a while after a failed call",
                  "[cluster]") {
   directory.suspect("near", now);
   for (int i = 0; i < 50; ++i) REQUIRE_FALSE(directory.home(std::to_string(i), now, kSilence));
@@ -71,7 +72,7 @@
   REQUIRE(directory.reaching_store(now + net::Millis(700), kSilence).size() == 1);
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "a beacon of an unknown or older incarnation says nothing",
+TEST_CASE_METHOD(DirectoryFixture, "a beacon of an unknown or older incarnation is ignored",
                  "[cluster]") {
   REQUIRE_FALSE(directory.on_beacon(beacon(99), now).has_value());
   directory.put("near", row(5, "here"), now);
@@ -80,7 +81,7 @@
   REQUIRE(directory.find(1) == nullptr);
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "loads of lost peers do not count", "[cluster]") {
+TEST_CASE_METHOD(DirectoryFixture, "loads of lost peers are not counted", "[cluster]") {
   auto message = beacon(1);
   message.loads[cluster::engine_key("e")] = 3;
   directory.on_beacon(message, now);
@@ -88,7 +89,8 @@
   REQUIRE(directory.loads(now + kSilence * 2, kSilence).at("e") == 0);
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "only peers that the store answers are relays, near ones first",
+TEST_CASE_METHOD(DirectoryFixture,
+                 "only peers that reach the store are relays, those of this zone first",
                  "[cluster]") {
   directory.on_beacon(beacon(1, false), now);
   directory.on_beacon(beacon(2), now);
@@ -97,14 +99,14 @@
   REQUIRE(directory.reaching_store(now, kSilence).at(0).node == "near");
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "a row that cannot be read adds no peer", "[cluster]") {
+TEST_CASE_METHOD(DirectoryFixture, "a row with an invalid address adds no peer", "[cluster]") {
   auto bad = row(7, "here");
   bad.address = "nowhere";
   directory.put("bad", bad, now);
   REQUIRE(directory.peers().count("bad") == 0);
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "the newest version of the store that any peer saw is known",
+TEST_CASE_METHOD(DirectoryFixture, "the newest store version that any peer reported is kept",
                  "[cluster]") {
   REQUIRE(directory.newest_store_version() == 0);
   auto message = beacon(1);
@@ -119,7 +121,7 @@
   REQUIRE(directory.newest_store_version() == 40);
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "a shard's owner with an escrow comes before one without",
+TEST_CASE_METHOD(DirectoryFixture, "a shard's owner with an escrow is preferred to one without",
                  "[cluster][escrow]") {
   auto bare = beacon(1);
   bare.bare_shards = {5};
@@ -135,13 +137,14 @@
   REQUIRE_FALSE(directory.shard_owner(6, now, kSilence));
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "shards without an owner are shared out among those heard of",
+TEST_CASE_METHOD(DirectoryFixture,
+                 "shards without an owner are distributed among the nodes that are heard",
                  "[cluster][escrow]") {
   constexpr int kShards = 60;
   const auto mine = directory.shards_to_claim({}, kShards, now, kSilence);
   REQUIRE(mine.size() > kShards / 6);
   REQUIRE(mine.size() < kShards / 2);
-  // A suspected peer still counts; one that is silent does not.
+  // A suspected peer still takes part; a silent one does not.
   directory.suspect("far", now);
   REQUIRE(directory.shards_to_claim({}, kShards, now, kSilence) == mine);
   const auto later = now + kSilence;
@@ -153,7 +156,8 @@
   REQUIRE(rest.size() == mine.size() - 2);
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "a peer that failed a call needs a sign of life", "[cluster]") {
+TEST_CASE_METHOD(DirectoryFixture, "a peer is live again after a failed call only once it is heard",
+                 "[cluster]") {
   directory.on_beacon(beacon(1), now);
   directory.suspect("near", now + net::Millis(10));
   const auto later = now + net::Millis(700);
@@ -162,8 +166,8 @@
   REQUIRE(PeerDirectory::is_live(*directory.find(1), later, kSilence));
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "the nodes of a zone that is not heard need a sign of life",
-                 "[cluster]") {
+TEST_CASE_METHOD(DirectoryFixture,
+                 "nodes of a suspected zone are live again only once they are heard", "[cluster]") {
   directory.on_beacon(beacon(1), now);
   directory.on_beacon(beacon(2), now);
   directory.suspect_zone("there", now + net::Millis(10));
@@ -174,7 +178,7 @@
   REQUIRE(PeerDirectory::is_live(*directory.find(2), later, kSilence));
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "a summary tells of another zone's nodes", "[cluster]") {
+TEST_CASE_METHOD(DirectoryFixture, "a summary updates the nodes of another zone", "[cluster]") {
   PeerDirectory there("far", "there");
   there.put("far-2", row(3, "there"), now);
   auto second = beacon(3);
@@ -194,7 +198,7 @@
   REQUIRE(directory.loads(sent_at, kSilence).at("e") == 4);
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "a summary does not take what is known back", "[cluster]") {
+TEST_CASE_METHOD(DirectoryFixture, "an older summary does not overwrite newer data", "[cluster]") {
   directory.on_beacon(beacon(2), now + net::Millis(500));
   wire::ZoneSummary old;
   old.zone = "there";
@@ -208,7 +212,7 @@
   REQUIRE(directory.find(2)->last_heard == now + net::Millis(500));
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "nobody speaks for this zone but its own nodes", "[cluster]") {
+TEST_CASE_METHOD(DirectoryFixture, "a summary of this node's own zone is ignored", "[cluster]") {
   wire::ZoneSummary foreign;
   foreign.zone = "here";
   wire::ZoneMember member;
@@ -221,7 +225,7 @@
   REQUIRE(directory.loads(now, kSilence).at("e") == 0);
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "loads of a zone count once", "[cluster]") {
+TEST_CASE_METHOD(DirectoryFixture, "loads of a zone are counted once", "[cluster]") {
   auto own = beacon(2);
   own.loads[cluster::engine_key("e")] = 2;
   directory.on_beacon(own, now);
@@ -230,12 +234,12 @@
   summary.loads[cluster::engine_key("e")] = 2;
   directory.on_summary(summary, now);
   REQUIRE(directory.loads(now, kSilence).at("e") == 2);
-  // A summary that is too old no longer stands for the zone's nodes.
+  // Once the summary is too old, the zone's nodes are counted individually.
   directory.on_beacon(own, now + net::Millis(900));
   REQUIRE(directory.loads(now + net::Millis(900), kSilence).at("e") == 2);
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "programs that live peers let begin are summed by tenant",
+TEST_CASE_METHOD(DirectoryFixture, "programs that live peers admitted are summed by tenant",
                  "[cluster][admission]") {
   auto near = beacon(1);
   near.__set_begun({{7, 2}, {8, 1}});
@@ -249,7 +253,7 @@
   REQUIRE(directory.begun(now + kSilence * 2, kSilence).empty());
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "a process that came back anew is found by its new incarnation",
+TEST_CASE_METHOD(DirectoryFixture, "a restarted process is found by its new incarnation",
                  "[cluster]") {
   directory.put("near", row(9, "here"), now);
   REQUIRE(directory.find(1) == nullptr);
--- a/tests/cluster/stall_detector_test.cpp
+++ b/tests/cluster/stall_detector_test.cpp
@@ -5,7 +5,7 @@
 using namespace sailgate;
 using cluster::StallDetector;
 
-TEST_CASE("a process that stood still has just resumed", "[base]") {
+TEST_CASE("a process counts as just resumed after a stall", "[base]") {
   const net::TimePoint start = net::TimePoint{} + std::chrono::hours(1);
   constexpr net::Millis kGap{300};
   StallDetector stalls(start);
--- a/tests/cluster/told_figures_test.cpp
+++ b/tests/cluster/told_figures_test.cpp
@@ -15,18 +15,18 @@
 
 }  // namespace
 
-TEST_CASE("speeds of several nodes weigh as much as what they were learned from") {
+TEST_CASE("engine speeds of several nodes are averaged by their number of samples") {
   cluster::EngineSpeeds sum;
   cluster::add_speeds({{1, speed(1000, 30)}, {2, speed(550, 4)}}, sum);
   cluster::add_speeds({{1, speed(600, 10)}, {3, speed(100, 0)}}, sum);
   REQUIRE(sum.at(1).permille == 900);
   REQUIRE(sum.at(1).samples == 40);
   REQUIRE(sum.at(2).permille == 550);
-  // Learned from nothing: says nothing.
+  // A speed without samples is ignored.
   REQUIRE(sum.count(3) == 0);
 }
 
-TEST_CASE("a zone's summary carries the sums of its nodes' beacons") {
+TEST_CASE("a zone's summary carries the totals of its nodes' beacons") {
   wire::Beacon first;
   first.loads[1] = 3;
   first.prompts[7] = 2;
