--- a/tests/cluster/beacon_codec_test.cpp
+++ b/tests/cluster/beacon_codec_test.cpp
@@ -42,9 +42,9 @@
 
 TEST_CASE("a beacon that fits in a datagram is encoded completely") {
   const auto beacon = beacon_of_zone(100);
-  const auto told = wire::decode<wire::Beacon>(cluster::encode_beacon(beacon));
-  REQUIRE(told.summary.speeds.size() == 100);
-  REQUIRE(told.summary.loads.size() == 100);
+  const auto decoded = wire::decode<wire::Beacon>(cluster::encode_beacon(beacon));
+  REQUIRE(decoded.summary.speeds.size() == 100);
+  REQUIRE(decoded.summary.loads.size() == 100);
 }
 
 TEST_CASE("a beacon that is too large drops less important fields") {
@@ -55,13 +55,13 @@
   beacon.__set_silent({silent});
   const auto bytes = cluster::encode_beacon(beacon);
   REQUIRE(bytes.size() <= cluster::kMaxBeaconBytes);
-  const auto told = wire::decode<wire::Beacon>(bytes);
-  REQUIRE(told.summary.members.size() == 50);
-  REQUIRE(told.summary.tenants.at(1).window == 100);
-  REQUIRE(told.summary.speeds.empty());
-  REQUIRE_FALSE(told.__isset.silent);
+  const auto decoded = wire::decode<wire::Beacon>(bytes);
+  REQUIRE(decoded.summary.members.size() == 50);
+  REQUIRE(decoded.summary.tenants.at(1).window == 100);
+  REQUIRE(decoded.summary.speeds.empty());
+  REQUIRE_FALSE(decoded.__isset.silent);
   // The loads of 600 engines fit once the speeds are dropped.
-  REQUIRE(told.summary.loads.empty() == (engines == 3000));
+  REQUIRE(decoded.summary.loads.empty() == (engines == 3000));
 }
 
 TEST_CASE("usage by age is dropped last, and usage over the window never") {
@@ -75,10 +75,10 @@
   beacon.__isset.tenants = true;
   const auto bytes = cluster::encode_beacon(beacon);
   REQUIRE(bytes.size() <= cluster::kMaxBeaconBytes);
-  const auto told = wire::decode<wire::Beacon>(bytes);
-  REQUIRE(told.summary.loads.empty());
-  REQUIRE(told.tenants.size() == kTenants);
-  const auto& usage = told.tenants.begin()->second;
+  const auto decoded = wire::decode<wire::Beacon>(bytes);
+  REQUIRE(decoded.summary.loads.empty());
+  REQUIRE(decoded.tenants.size() == kTenants);
+  const auto& usage = decoded.tenants.begin()->second;
   REQUIRE(usage.window == 100);
   REQUIRE_FALSE(usage.__isset.parts);
 }
--- a/tests/cluster/beacon_lateness_test.cpp
+++ b/tests/cluster/beacon_lateness_test.cpp
@@ -32,7 +32,7 @@
 TEST_CASE("beacons queued during a stall of minutes are late", "[cluster]") {
   BeaconLateness lateness;
   for (std::int64_t ms = 0; ms < 60'000; ms += 200) lateness.of(ms, kStart + net::Millis(ms));
-  const auto woke = kStart + net::Millis(300'000);
-  REQUIRE(lateness.of(60'000, woke) == net::Millis(240'000));
-  REQUIRE(lateness.of(300'000, woke) == net::Millis(0));
+  const auto resumed = kStart + net::Millis(300'000);
+  REQUIRE(lateness.of(60'000, resumed) == net::Millis(240'000));
+  REQUIRE(lateness.of(300'000, resumed) == net::Millis(0));
 }
--- a/tests/cluster/peer_directory_test.cpp
+++ b/tests/cluster/peer_directory_test.cpp
@@ -50,18 +50,18 @@
                  "a peer that was live before a stall does not count as lost after it",
                  "[cluster]") {
   directory.on_beacon(beacon(1), now);
-  const auto woke = now + net::Millis(4000);
-  REQUIRE_FALSE(directory.heard(1, woke, kSilence));
+  const auto resumed = now + net::Millis(4000);
+  REQUIRE_FALSE(directory.heard(1, resumed, kSilence));
   constexpr int kShards = 40;
-  REQUIRE(directory.shards_to_claim({}, kShards, woke, kSilence).size() == kShards);
-  directory.note_stall(now + net::Millis(100), woke, kSilence);
-  REQUIRE(directory.heard(1, woke, kSilence));
-  REQUIRE(directory.shards_to_claim({}, kShards, woke, kSilence).size() < kShards);
+  REQUIRE(directory.shards_to_claim({}, kShards, resumed, kSilence).size() == kShards);
+  directory.note_stall(now + net::Millis(100), resumed, kSilence);
+  REQUIRE(directory.heard(1, resumed, kSilence));
+  REQUIRE(directory.shards_to_claim({}, kShards, resumed, kSilence).size() < kShards);
   // A peer that stays silent after the stall counts as lost.
-  REQUIRE_FALSE(directory.heard(1, woke + kSilence, kSilence));
+  REQUIRE_FALSE(directory.heard(1, resumed + kSilence, kSilence));
   // A peer that was lost before a stall stays lost.
-  directory.note_stall(woke + 2 * kSilence, woke + 3 * kSilence, kSilence);
-  REQUIRE_FALSE(directory.heard(1, woke + 3 * kSilence, kSilence));
+  directory.note_stall(resumed + 2 * kSilence, resumed + 3 * kSilence, kSilence);
+  REQUIRE_FALSE(directory.heard(1, resumed + 3 * kSilence, kSilence));
 }
 
 TEST_CASE_METHOD(DirectoryFixture, "a peer is not used for a while after a failed call",
--- a/tests/cluster/told_figures_test.cpp
+++ b/tests/cluster/told_figures_test.cpp
@@ -39,12 +39,12 @@
   sum.add(cluster::extract_stats(second));
   wire::ZoneSummary summary;
   cluster::write_stats(sum, summary);
-  const auto told = cluster::extract_stats(summary);
-  REQUIRE(told.loads.at(1) == 6);
-  REQUIRE(told.failures.at(1) == 2);
-  REQUIRE(told.prompts.at(7) == 4);
-  REQUIRE(told.begun.at(9) == 2);
-  REQUIRE(told.speeds.at(1).permille == 500);
+  const auto read_back = cluster::extract_stats(summary);
+  REQUIRE(read_back.loads.at(1) == 6);
+  REQUIRE(read_back.failures.at(1) == 2);
+  REQUIRE(read_back.prompts.at(7) == 4);
+  REQUIRE(read_back.begun.at(9) == 2);
+  REQUIRE(read_back.speeds.at(1).permille == 500);
 }
 
 }  // namespace sailgate
