--- a/tests/cluster/beacon_codec_test.cpp
+++ b/tests/cluster/beacon_codec_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A zone of 50 nodes before so many engines, all of which it uses.
+/// Beacon with the summary of a zone of 50 nodes that uses `engines` engines.
 wire::Beacon beacon_of_zone(int engines) {
   wire::Beacon beacon;
   beacon.incarnation = 7;
@@ -40,31 +40,31 @@
 
 }  // namespace
 
-TEST_CASE("a beacon that fits is told whole") {
+TEST_CASE("a beacon that fits in a datagram is encoded completely") {
   const auto beacon = beacon_of_zone(100);
-  const auto told = wire::decode<wire::Beacon>(cluster::encode_beacon(beacon));
-  REQUIRE(told.summary.speeds.size() == 100);
-  REQUIRE(told.summary.loads.size() == 100);
+  const auto decoded = wire::decode<wire::Beacon>(cluster::encode_beacon(beacon));
+  REQUIRE(decoded.summary.speeds.size() == 100);
+  REQUIRE(decoded.summary.loads.size() == 100);
 }
 
-TEST_CASE("a beacon that is too large leaves out what only saves time") {
+TEST_CASE("a beacon that is too large drops less important fields") {
   const int engines = GENERATE(600, 3000);
   auto beacon = beacon_of_zone(engines);
   wire::SilentProcess silent;
   for (int tenant = 0; tenant < 400; ++tenant) silent.tenants[tenant * 1'000'003].window = 1000;
   beacon.__set_silent({silent});
   const auto bytes = cluster::encode_beacon(beacon);
-  REQUIRE(bytes.size() <= cluster::kMostBeaconBytes);
-  const auto told = wire::decode<wire::Beacon>(bytes);
-  REQUIRE(told.summary.members.size() == 50);
-  REQUIRE(told.summary.tenants.at(1).window == 100);
-  REQUIRE(told.summary.speeds.empty());
-  REQUIRE_FALSE(told.__isset.silent);
-  // 600 engines' loads fit without the speeds.
-  REQUIRE(told.summary.loads.empty() == (engines == 3000));
+  REQUIRE(bytes.size() <= cluster::kMaxBeaconBytes);
+  const auto decoded = wire::decode<wire::Beacon>(bytes);
+  REQUIRE(decoded.summary.members.size() == 50);
+  REQUIRE(decoded.summary.tenants.at(1).window == 100);
+  REQUIRE(decoded.summary.speeds.empty());
+  REQUIRE_FALSE(decoded.__isset.silent);
+  // The loads of 600 engines fit once the speeds are dropped.
+  REQUIRE(decoded.summary.loads.empty() == (engines == 3000));
 }
 
-TEST_CASE("requests by age are left out last, and those of the window never") {
+TEST_CASE("usage by age is dropped last, and usage over the window never") {
   constexpr int kTenants = 400;
   auto beacon = beacon_of_zone(100);
   for (int tenant = 0; tenant < kTenants; ++tenant) {
@@ -74,11 +74,11 @@
   }
   beacon.__isset.tenants = true;
   const auto bytes = cluster::encode_beacon(beacon);
-  REQUIRE(bytes.size() <= cluster::kMostBeaconBytes);
-  const auto told = wire::decode<wire::Beacon>(bytes);
-  REQUIRE(told.summary.loads.empty());
-  REQUIRE(told.tenants.size() == kTenants);
-  const auto& usage = told.tenants.begin()->second;
+  REQUIRE(bytes.size() <= cluster::kMaxBeaconBytes);
+  const auto decoded = wire::decode<wire::Beacon>(bytes);
+  REQUIRE(decoded.summary.loads.empty());
+  REQUIRE(decoded.tenants.size() == kTenants);
+  const auto& usage = decoded.tenants.begin()->second;
   REQUIRE(usage.window == 100);
   REQUIRE_FALSE(usage.__isset.parts);
 }
--- a/tests/cluster/told_figures_test.cpp
+++ b/tests/cluster/told_figures_test.cpp
@@ -15,18 +15,18 @@
 
 }  // namespace
 
-TEST_CASE("speeds of several nodes weigh as much as what they were learned from") {
+TEST_CASE("engine speeds of several nodes are averaged by their number of samples") {
   cluster::EngineSpeeds sum;
   cluster::add_speeds({{1, speed(1000, 30)}, {2, speed(550, 4)}}, sum);
   cluster::add_speeds({{1, speed(600, 10)}, {3, speed(100, 0)}}, sum);
   REQUIRE(sum.at(1).permille == 900);
   REQUIRE(sum.at(1).samples == 40);
   REQUIRE(sum.at(2).permille == 550);
-  // Learned from nothing: says nothing.
+  // A speed without samples is ignored.
   REQUIRE(sum.count(3) == 0);
 }
 
-TEST_CASE("a zone's summary carries the sums of its nodes' beacons") {
+TEST_CASE("a zone's summary carries the totals of its nodes' beacons") {
   wire::Beacon first;
   first.loads[1] = 3;
   first.prompts[7] = 2;
@@ -34,17 +34,17 @@
   first.failures[1] = 1;
   wire::Beacon second = first;
   second.speeds[1] = speed(500, 2);
-  cluster::ToldFigures sum;
-  sum.add(cluster::figures_of(first));
-  sum.add(cluster::figures_of(second));
+  cluster::NodeStats sum;
+  sum.add(cluster::extract_stats(first));
+  sum.add(cluster::extract_stats(second));
   wire::ZoneSummary summary;
-  cluster::tell(sum, summary);
-  const auto told = cluster::figures_of(summary);
-  REQUIRE(told.loads.at(1) == 6);
-  REQUIRE(told.failures.at(1) == 2);
-  REQUIRE(told.prompts.at(7) == 4);
-  REQUIRE(told.begun.at(9) == 2);
-  REQUIRE(told.speeds.at(1).permille == 500);
+  cluster::write_stats(sum, summary);
+  const auto read_back = cluster::extract_stats(summary);
+  REQUIRE(read_back.loads.at(1) == 6);
+  REQUIRE(read_back.failures.at(1) == 2);
+  REQUIRE(read_back.prompts.at(7) == 4);
+  REQUIRE(read_back.begun.at(9) == 2);
+  REQUIRE(read_back.speeds.at(1).permille == 500);
 }
 
 }  // namespace sailgate
