--- a/src/cluster/fleet_usage.cpp
+++ b/src/cluster/fleet_usage.cpp
@@ -12,7 +12,7 @@
 
 constexpr double kMillisPerSecond = 1000;
 /// What a zone's summary sums up is older than the summary by up to a round of beacons in the zone.
-constexpr net::Millis kSummedAge{200};
+constexpr net::Millis kSummaryInputAge{200};
 
 net::Millis between(net::TimePoint earlier, net::TimePoint later) {
   return std::max(std::chrono::duration_cast<net::Millis>(later - earlier), net::Millis(0));
@@ -28,44 +28,44 @@
     const auto found = told.find(tenant_);
     if (found == told.end()) return;
     const auto age = between(told_at, now_);
-    const auto usage = aged(found->second, age, window_);
+    const auto usage = age_usage(found->second, age, window_);
     const double weight = news_age_.weight(age);
-    sum_.heard += weight * usage.window;
+    sum_.reported += weight * usage.window;
     sum_.silent += (1 - weight) * usage.window;
     const auto age_ms = static_cast<double>(age.count());
-    sum_.unseen += weight * usage.asked_per_s * age_ms / kMillisPerSecond;
-    add_parts(usage, age, weight);
+    sum_.unreported += weight * usage.asked_per_s * age_ms / kMillisPerSecond;
+    add_age_buckets(usage, age, weight);
     if (usage.__isset.parts) return;
-    const double gone = std::min(1.0, age_ms / static_cast<double>(kLeavingSoon.count()));
-    sum_.left += weight * usage.leaving_soon * gone;
+    const double expired_share = std::min(1.0, age_ms / static_cast<double>(kExpiringSoon.count()));
+    sum_.expired += weight * usage.leaving_soon * expired_share;
   }
-  const OthersUsage& sum() const { return sum_; }
+  const PeerUsage& sum() const { return sum_; }
 
  private:
-  void add_parts(const wire::TenantUsage& usage, net::Millis age, double weight) {
-    const auto length = quota::part_of(window_);
-    const double grown_older =
+  void add_age_buckets(const wire::TenantUsage& usage, net::Millis age, double weight) {
+    const auto length = quota::bucket_length(window_);
+    const double aged_out =
         static_cast<double>((age % length).count()) / static_cast<double>(length.count());
-    const auto parts = told_parts(usage);
+    const auto parts = read_age_buckets(usage);
     for (std::size_t part = 0; part < parts.size(); ++part) {
-      sum_.heard_by_age[part] += weight * parts[part];
+      sum_.reported_by_age[part] += weight * parts[part];
       sum_.silent_by_age[part] += (1 - weight) * parts[part];
-      sum_.left_by_age[part] += weight * parts[part] * grown_older;
+      sum_.expired_by_age[part] += weight * parts[part] * aged_out;
     }
-    sum_.left += weight * parts.back() * grown_older;
+    sum_.expired += weight * parts.back() * aged_out;
   }
 
   std::int32_t tenant_;
   net::TimePoint now_;
   NewsAge news_age_;
   net::Millis window_;
-  OthersUsage sum_;
+  PeerUsage sum_;
 };
 
 /// Nodes that a zone's sum stands for, each by how fresh news of it is. A node of the zone that is
 /// heard by other ways does not count: right after a cut has healed, sums that one side made told
 /// half of what had passed.
-double nodes_summed(const ZoneSums& sum, net::TimePoint now, const NewsAge& news_age) {
+double fresh_summary_members(const ZoneSums& sum, net::TimePoint now, const NewsAge& news_age) {
   const auto age = between(sum.taken_at, now);
   double nodes = 0;
   for (const auto silent : sum.members_silent) nodes += news_age.weight(age + silent);
@@ -74,13 +74,13 @@
 
 }  // namespace
 
-OthersUsage usage_of_others(const PeerDirectory& directory, std::int32_t tenant, net::TimePoint now,
-                            net::Millis silence, net::Millis window) {
+PeerUsage peer_usage(const PeerDirectory& directory, std::int32_t tenant, net::TimePoint now,
+                     net::Millis silence, net::Millis window) {
   UsageSum sum(tenant, now, silence, window);
   const auto& zones = directory.zone_sums();
   for (const auto& [zone, known] : zones) {
-    sum.add(known.told.tenants, known.taken_at - kSummedAge);
-    for (const auto& lost : known.lost) sum.add(lost.tenants, lost.told_at - kSummedAge);
+    sum.add(known.told.tenants, known.taken_at - kSummaryInputAge);
+    for (const auto& lost : known.lost) sum.add(lost.tenants, lost.told_at - kSummaryInputAge);
   }
   for (const auto& [node, peer] : directory.peers()) {
     if (zones.count(peer.zone) == 0) sum.add(peer.told.tenants, peer.last_heard);
@@ -101,9 +101,9 @@
     // What the node's processes before told counts by itself.
     const auto untold = directory.departed().untold(node, now - window, start);
     // Spans are looked at in steps of a part: in one of them as much again may have passed.
-    const auto before = std::min(window, untold + quota::part_of(window));
-    membership.restarted += 1;
-    membership.forgotten +=
+    const auto before = std::min(window, untold + quota::bucket_length(window));
+    membership.restarted_share += 1;
+    membership.unknown_history +=
         static_cast<double>(before.count()) / static_cast<double>(window.count());
   };
   membership.complete = directory.complete();
@@ -128,10 +128,10 @@
     membership.fresh += news_age.weight(between(told_at, now));
   }
   for (const auto& [zone, sum] : directory.zone_sums()) {
-    membership.fresh += std::min(nodes_summed(sum, now, news_age), known_in_zone[zone]);
+    membership.fresh += std::min(fresh_summary_members(sum, now, news_age), known_in_zone[zone]);
   }
-  membership.restarted /= static_cast<double>(membership.known);
-  membership.forgotten /= static_cast<double>(membership.known);
+  membership.restarted_share /= static_cast<double>(membership.known);
+  membership.unknown_history /= static_cast<double>(membership.known);
   return membership;
 }
 
--- a/src/cluster/open_reservations.cpp
+++ b/src/cluster/open_reservations.cpp
@@ -8,19 +8,19 @@
 
 /// Longer than a request waits in the sockets of a process that stands still while the end of its
 /// turn overtakes it.
-constexpr net::Millis kEndedMemory{std::chrono::seconds(60)};
+constexpr net::Millis kEndedRetention{std::chrono::seconds(60)};
 
 }  // namespace
 
 bool OpenReservations::open(ReservationId id, Reservation reservation, net::TimePoint now) {
-  forget_ended(now);
+  prune_ended(now);
   if (ended_.count(id) > 0) return false;
   open_.emplace(id, std::move(reservation));
   return true;
 }
 
 std::optional<Reservation> OpenReservations::close(ReservationId id, net::TimePoint now) {
-  forget_ended(now);
+  prune_ended(now);
   if (ended_.insert(id).second) by_age_.push_back({id, now});
   const auto found = open_.find(id);
   if (found == open_.end()) return std::nullopt;
@@ -29,8 +29,8 @@
   return reservation;
 }
 
-void OpenReservations::forget_ended(net::TimePoint now) {
-  while (!by_age_.empty() && now >= by_age_.front().at + kEndedMemory) {
+void OpenReservations::prune_ended(net::TimePoint now) {
+  while (!by_age_.empty() && now >= by_age_.front().at + kEndedRetention) {
     ended_.erase(by_age_.front().id);
     by_age_.pop_front();
   }
--- a/src/cluster/open_reservations.hpp
+++ b/src/cluster/open_reservations.hpp
@@ -34,7 +34,7 @@
 
   std::size_t count() const { return open_.size(); }
   /// Ends that are remembered.
-  std::size_t ended() const { return ended_.size(); }
+  std::size_t ended_count() const { return ended_.size(); }
 
  private:
   struct Ended {
@@ -42,7 +42,7 @@
     net::TimePoint at{};
   };
 
-  void forget_ended(net::TimePoint now);
+  void prune_ended(net::TimePoint now);
 
   std::unordered_map<ReservationId, Reservation> open_;
   std::unordered_set<ReservationId> ended_;
--- a/src/cluster/peer_directory.cpp
+++ b/src/cluster/peer_directory.cpp
@@ -257,7 +257,7 @@
   ToldFigures sum;
   const auto add = [&](const Peer& peer) {
     const bool heard = now < peer.last_heard + silence;
-    add_usages(peer.told.tenants, {between(peer.last_heard, now), window, heard}, sum.tenants);
+    merge_usages(peer.told.tenants, {between(peer.last_heard, now), window, heard}, sum.tenants);
     if (!heard) return;
     summary.members.push_back(member_of(peer, now));
     sum.add(peer.told);
@@ -269,7 +269,7 @@
   for (const auto& [incarnation, departed] : departed_.all()) {
     if (departed.zone != zone_) continue;
     const bool heard = now < departed.last_heard + silence;
-    add_usages(departed.tenants, {between(departed.last_heard, now), window, heard}, sum.tenants);
+    merge_usages(departed.tenants, {between(departed.last_heard, now), window, heard}, sum.tenants);
   }
   tell(sum, summary);
   return summary;
--- a/src/cluster/store_relay.cpp
+++ b/src/cluster/store_relay.cpp
@@ -14,26 +14,26 @@
 constexpr const char* kFollowPath = "/peer/store/follow";
 /// Time between two probes of a node, and at least this much for each node there is.
 constexpr net::Millis kProbeInterval{200};
-constexpr net::Millis kProbeTimePerPeer{4};
+constexpr net::Millis kProbeIntervalPerPeer{4};
 constexpr net::Millis kProbeTimeout{150};
 /// An answer that is not older than this needs no verification.
-constexpr net::Millis kFreshAnswer{400};
+constexpr net::Millis kFreshAnswerAge{400};
 /// A probe that others overlap is waited for longer: a store that takes 240 ms to answer is slow,
 /// not away.
-constexpr net::Millis kLongProbeTimeout{500};
+constexpr net::Millis kOverlappingProbeTimeout{500};
 /// Probes read parts of this table in turn: single parts may be out of service.
 constexpr const char* kProbeTable = "nodes";
-constexpr std::uint64_t kProbedParts = 251;
+constexpr std::uint64_t kProbedPartCount = 251;
 /// While the store is full each node writes a row to this table so often: 84 calls a second of 84
 /// nodes, and callers come back after a second.
 constexpr const char* kSpaceTable = "space";
 constexpr net::Millis kSpaceProbeInterval{1000};
 /// Single answers get lost: so many direct calls in a row must fail before calls are relayed.
-constexpr int kFailuresToRelay = 3;
+constexpr int kFailuresBeforeRelay = 3;
 /// A relayed call may take this much longer than a direct one.
-constexpr net::Millis kRelayTime{40};
+constexpr net::Millis kRelayOverhead{40};
 /// A relayed feed does not wait long: the peer may be lost meanwhile.
-constexpr net::Millis kRelayedWait{300};
+constexpr net::Millis kMaxRelayedWait{300};
 
 using store::StoreResult;
 using store::StoreStatus;
@@ -118,24 +118,24 @@
   return transaction;
 }
 
-net::Millis bounded(std::int32_t timeout_ms) {
-  constexpr net::Millis kLongest{3000};
-  return std::clamp(net::Millis(timeout_ms), net::Millis(1), kLongest);
+net::Millis clamp_timeout(std::int32_t timeout_ms) {
+  constexpr net::Millis kMaxTimeout{3000};
+  return std::clamp(net::Millis(timeout_ms), net::Millis(1), kMaxTimeout);
 }
 
 }  // namespace
 
-void StoreRelay::note_direct(const StoreResult& result) {
+void StoreRelay::record_direct_result(const StoreResult& result) {
   const auto status = result.status;
-  note_end(result);
+  record_result(result);
   failures_in_a_row_ = reached(status) ? 0 : failures_in_a_row_ + 1;
-  const bool works = failures_in_a_row_ < kFailuresToRelay;
+  const bool works = failures_in_a_row_ < kFailuresBeforeRelay;
   if (works == direct_works_) return;
   direct_works_ = works;
   log_.event(works ? "store_direct" : "store_relayed").with("peers", directory_.peers().size());
 }
 
-void StoreRelay::note_end(const StoreResult& result) {
+void StoreRelay::record_result(const StoreResult& result) {
   const auto now = net::Clock::now();
   reachability_.note(reached(result.status), now);
   clock_.observe(result.now_ms, now);
@@ -143,16 +143,16 @@
 
 net::Millis StoreRelay::probe_interval() const {
   const auto peers = static_cast<std::int64_t>(directory_.peers().size());
-  return std::max(kProbeInterval, kProbeTimePerPeer * peers);
+  return std::max(kProbeInterval, kProbeIntervalPerPeer * peers);
 }
 
 net::asio::awaitable<void> StoreRelay::probe(net::Millis timeout) {
   store::RangeRead range;
   range.table = kProbeTable;
-  range.part = std::to_string(probes_++ % kProbedParts);
+  range.part = std::to_string(probes_++ % kProbedPartCount);
   range.limit = 1;
   const auto result = co_await direct_.read(std::move(range), timeout);
-  note_direct(result);
+  record_direct_result(result);
 }
 
 net::asio::awaitable<void> StoreRelay::probe_space() {
@@ -160,24 +160,24 @@
   store::Transaction transaction;
   const auto part = store::part_of(directory_.self());
   transaction.puts.push_back({{kSpaceTable, part, directory_.self()}, "", 0, false});
-  co_await transact(std::move(transaction), kLongProbeTimeout);
+  co_await transact(std::move(transaction), kOverlappingProbeTimeout);
 }
 
-void StoreRelay::note_space(StoreStatus status, bool puts_rows) {
+void StoreRelay::record_space(StoreStatus status, bool puts_rows) {
   if (!space_.note(status, puts_rows)) return;
   log_.event(space_.full() ? "store_full" : "store_has_space");
 }
 
-net::asio::awaitable<void> StoreRelay::keep_probing() {
+net::asio::awaitable<void> StoreRelay::probe_loop() {
   while (true) {
     co_await net::sleep_for(context_, probe_interval());
     if (full() && net::Clock::now() >= space_probed_at_ + kSpaceProbeInterval) {
       co_await probe_space();
     }
-    const bool well = direct_works_ && reachability_.answers(net::Clock::now());
-    if (well) continue;
+    const bool healthy = direct_works_ && reachability_.answers(net::Clock::now());
+    if (healthy) continue;
     if (overlapping_) {
-      net::asio::co_spawn(context_, probe(kLongProbeTimeout), net::asio::detached);
+      net::asio::co_spawn(context_, probe(kOverlappingProbeTimeout), net::asio::detached);
     } else {
       co_await probe(kProbeTimeout);
     }
@@ -185,7 +185,7 @@
 }
 
 void StoreRelay::verify() {
-  if (verifying_ || reachability_.unanswered(net::Clock::now()) < kFreshAnswer) return;
+  if (verifying_ || reachability_.unanswered(net::Clock::now()) < kFreshAnswerAge) return;
   verifying_ = true;
   net::asio::co_spawn(context_, probe_twice(), net::asio::detached);
 }
@@ -196,25 +196,25 @@
   verifying_ = false;
 }
 
-std::optional<Peer> StoreRelay::relay_for_now() {
+std::optional<Peer> StoreRelay::pick_relay_peer() {
   if (direct_works_ || !relaying_) return std::nullopt;
   const auto now = net::Clock::now();
-  const auto able = directory_.reaching_store(now, silence_limit_);
-  if (able.empty()) return std::nullopt;
-  return able[random_.below(able.size())];
+  const auto candidates = directory_.reaching_store(now, silence_limit_);
+  if (candidates.empty()) return std::nullopt;
+  return candidates[random_.below(candidates.size())];
 }
 
 net::asio::awaitable<StoreResult> StoreRelay::relayed(Peer peer, const char* path, std::string body,
                                                       net::Millis timeout) {
   const auto http = clients_.get(peer);
   auto call = peer_request(path, std::move(body));
-  const auto exchange = co_await http->exchange(std::move(call), timeout + kRelayTime);
+  const auto exchange = co_await http->exchange(std::move(call), timeout + kRelayOverhead);
   StoreResult result;
   result.status = exchange.failure == net::ExchangeFailure::kNotSent ? StoreStatus::kRefused
                                                                      : StoreStatus::kUnknown;
   if (!succeeded(exchange)) {
     directory_.suspect(peer.node, net::Clock::now());
-    note_end(result);
+    record_result(result);
     co_return result;
   }
   try {
@@ -222,7 +222,7 @@
   } catch (const std::exception&) {
     result.status = StoreStatus::kUnknown;
   }
-  note_end(result);
+  record_result(result);
   co_return result;
 }
 
@@ -230,19 +230,19 @@
                                                        net::Millis timeout) {
   const bool puts_rows = !transaction.puts.empty();
   StoreResult result;
-  if (const auto peer = relay_for_now()) {
+  if (const auto peer = pick_relay_peer()) {
     auto body = wire::encode(to_wire(transaction, timeout));
     result = co_await relayed(*peer, kTransactPath, std::move(body), timeout);
   } else {
     result = co_await direct_.transact(std::move(transaction), timeout);
-    note_direct(result);
+    record_direct_result(result);
   }
-  note_space(result.status, puts_rows);
+  record_space(result.status, puts_rows);
   co_return result;
 }
 
 net::asio::awaitable<StoreResult> StoreRelay::read(store::RangeRead range, net::Millis timeout) {
-  if (const auto peer = relay_for_now()) {
+  if (const auto peer = pick_relay_peer()) {
     wire::StoreRead message;
     message.table = range.table;
     message.part = range.part;
@@ -254,26 +254,26 @@
     co_return co_await relayed(*peer, kReadPath, std::move(body), timeout);
   }
   auto result = co_await direct_.read(std::move(range), timeout);
-  note_direct(result);
+  record_direct_result(result);
   co_return result;
 }
 
 net::asio::awaitable<StoreResult> StoreRelay::follow(std::string table, std::int64_t after,
                                                      net::Millis wait, net::Millis timeout) {
-  if (const auto peer = relay_for_now()) {
+  if (const auto peer = pick_relay_peer()) {
     wire::StoreFollow message;
     message.table = table;
     message.after = after;
-    message.wait_ms = static_cast<std::int32_t>(std::min(wait, kRelayedWait).count());
+    message.wait_ms = static_cast<std::int32_t>(std::min(wait, kMaxRelayedWait).count());
     message.timeout_ms = static_cast<std::int32_t>(timeout.count());
     auto body = wire::encode(message);
     co_return co_await relayed(*peer, kFollowPath, std::move(body), timeout);
   }
   // While direct calls fail, a direct feed must not hang for its whole wait.
-  const auto direct_wait = direct_works_ ? wait : std::min(wait, kRelayedWait);
-  const auto direct_timeout = direct_works_ ? timeout : kRelayedWait * 2;
+  const auto direct_wait = direct_works_ ? wait : std::min(wait, kMaxRelayedWait);
+  const auto direct_timeout = direct_works_ ? timeout : kMaxRelayedWait * 2;
   auto result = co_await direct_.follow(std::move(table), after, direct_wait, direct_timeout);
-  note_direct(result);
+  record_direct_result(result);
   co_return result;
 }
 
@@ -287,7 +287,7 @@
   if (request.target() == kTransactPath) {
     const auto message = wire::decode<wire::StoreTransact>(request.body());
     auto transaction = from_wire(message);
-    result = co_await direct_.transact(std::move(transaction), bounded(message.timeout_ms));
+    result = co_await direct_.transact(std::move(transaction), clamp_timeout(message.timeout_ms));
   } else if (request.target() == kReadPath) {
     const auto message = wire::decode<wire::StoreRead>(request.body());
     store::RangeRead range;
@@ -296,11 +296,11 @@
     range.from_key = message.from_key;
     range.to_key = message.to_key;
     range.limit = message.limit;
-    result = co_await direct_.read(std::move(range), bounded(message.timeout_ms));
+    result = co_await direct_.read(std::move(range), clamp_timeout(message.timeout_ms));
   } else {
     const auto message = wire::decode<wire::StoreFollow>(request.body());
-    result = co_await direct_.follow(message.table, message.after, bounded(message.wait_ms),
-                                     bounded(message.timeout_ms));
+    result = co_await direct_.follow(message.table, message.after, clamp_timeout(message.wait_ms),
+                                     clamp_timeout(message.timeout_ms));
   }
   response.body() = wire::encode(to_wire(result));
   co_return response;
--- a/src/cluster/store_relay.hpp
+++ b/src/cluster/store_relay.hpp
@@ -38,7 +38,7 @@
                                                   net::Millis wait, net::Millis timeout) override;
 
   /// While this node's own calls fail, makes one now and then, to see whether that works again.
-  net::asio::awaitable<void> keep_probing();
+  net::asio::awaitable<void> probe_loop();
   /// Whether some call to the store, direct or not, was answered lately.
   bool answers() const { return reachability_.answers(net::Clock::now()); }
   const store::Reachability& reachability() const { return reachability_; }
@@ -68,14 +68,14 @@
 
  private:
   /// A peer to go through now; nullopt: the call is made directly.
-  std::optional<Peer> relay_for_now();
+  std::optional<Peer> pick_relay_peer();
   /// Notes how a direct call ended.
-  void note_direct(const store::StoreResult& result);
-  void note_end(const store::StoreResult& result);
+  void record_direct_result(const store::StoreResult& result);
+  void record_result(const store::StoreResult& result);
   net::asio::awaitable<void> probe_twice();
   net::asio::awaitable<void> probe(net::Millis timeout);
   net::asio::awaitable<void> probe_space();
-  void note_space(store::StoreStatus status, bool puts_rows);
+  void record_space(store::StoreStatus status, bool puts_rows);
   net::Millis probe_interval() const;
   net::asio::awaitable<store::StoreResult> relayed(Peer peer, const char* path, std::string body,
                                                    net::Millis timeout);
--- a/src/cluster/tenant_quotas.hpp
+++ b/src/cluster/tenant_quotas.hpp
@@ -23,7 +23,7 @@
 struct QuotaRequest {
   tenancy::StateKey program;  ///< empty: not part of a program
   bool continues = false;     ///< it goes on from an earlier request of its program
-  bool asked_before = false;  ///< it was told to wait for news
+  bool is_retry = false;      ///< it was told to wait for news
 };
 
 /// Not thread-safe: belongs to the event loop.
@@ -45,42 +45,44 @@
                          net::TimePoint now);
   /// This node has just begun, or stood still: the others' news is on its way, and a request that
   /// is refused now may pass when it has come.
-  bool awaits_news(net::TimePoint now) const { return stalls_.resumed_within(kNewsTime, now); }
+  bool awaits_peer_reports(net::TimePoint now) const {
+    return stalls_.resumed_within(kPeerReportTime, now);
+  }
   /// Until then news has come in. Requests that piled up meanwhile are spread over as long again,
   /// since no node sees the others' yet.
-  net::Millis time_to_ask_again(net::TimePoint now);
+  net::Millis peer_report_retry_delay(net::TimePoint now);
   /// A request that was let through at `then` never ran: only those that run count. Programs that
   /// loop send several turns a second that their budget refuses; counted, they took the whole limit
   /// of a small tenant.
-  void take_back(const tenancy::Tenant& tenant, net::TimePoint then);
+  void refund(const tenancy::Tenant& tenant, net::TimePoint then);
   /// What this node let through lately, for its beacons.
   TenantUsages told(net::TimePoint now);
   /// So much of a limit was let through since told() that the others should not wait for the next
   /// round to hear it.
-  bool wants_to_tell() const { return wants_to_tell_; }
+  bool report_due() const { return report_due_; }
   const Membership& membership() const { return membership_; }
 
  private:
   /// Requests of a tenant at this node.
-  struct Own {
-    explicit Own(net::Millis window) : passed(window), asked(window) {}
-    quota::UsageWindow passed;
-    quota::UsageWindow asked;  ///< let through or not
-    int untold = 0;            ///< let through since told()
+  struct LocalUsage {
+    explicit LocalUsage(net::Millis window) : admitted(window), received(window) {}
+    quota::UsageWindow admitted;
+    quota::UsageWindow received;  ///< let through or not
+    int unreported = 0;           ///< let through since told()
   };
 
-  void note_passed(Own& own, const tenancy::Tenant& tenant, const quota::Admission& admission,
-                   net::TimePoint now);
-  std::int32_t asked_per_second(quota::UsageWindow& asked, net::TimePoint now) const;
-  quota::FleetUsage usage_of(const std::string& tenant, quota::UsageWindow& passed,
+  void record_admitted(LocalUsage& own, const tenancy::Tenant& tenant,
+                       const quota::Admission& admission, net::TimePoint now);
+  std::int32_t received_per_second(quota::UsageWindow& received, net::TimePoint now) const;
+  quota::FleetUsage usage_of(const std::string& tenant, quota::UsageWindow& admitted,
                              net::TimePoint now) const;
 
   /// A refresh that is this late means that the process stood still.
-  static constexpr net::Millis kLongestUpkeep{300};
+  static constexpr net::Millis kMaxRefreshInterval{300};
   /// Time in which beacons of the own zone and summaries of the others come in.
-  static constexpr net::Millis kNewsTime{400};
+  static constexpr net::Millis kPeerReportTime{400};
   /// Programs remembered as under way: at 100 a second over 84 nodes some hours of them.
-  static constexpr std::size_t kMostPrograms = 10'000;
+  static constexpr std::size_t kMaxPrograms = 10'000;
 
   const PeerDirectory& directory_;
   quota::Bounds bounds_;
@@ -89,9 +91,9 @@
   StallDetector stalls_;
   net::Millis silence_{0};
   Membership membership_;
-  std::unordered_map<std::string, Own> own_;  ///< by the tenant's name
-  quota::RecentPrograms programs_{kMostPrograms};
-  bool wants_to_tell_ = false;
+  std::unordered_map<std::string, LocalUsage> own_;  ///< by the tenant's name
+  quota::RecentPrograms programs_{kMaxPrograms};
+  bool report_due_ = false;
 };
 
 }  // namespace sailgate::cluster
--- a/src/cluster/tenant_usage.cpp
+++ b/src/cluster/tenant_usage.cpp
@@ -12,30 +12,30 @@
   return static_cast<std::int32_t>(base::fast_digest(tenant));
 }
 
-void tell_parts(const quota::PartCounts& parts, wire::TenantUsage& usage) {
+void write_age_buckets(const quota::BucketCounts& parts, wire::TenantUsage& usage) {
   std::vector<std::int32_t> told;
   for (const auto count : parts) told.push_back(static_cast<std::int32_t>(count));
   while (!told.empty() && told.back() == 0) told.pop_back();
   usage.__set_parts(told);
 }
 
-quota::PartCounts told_parts(const wire::TenantUsage& usage) {
-  quota::PartCounts parts{};
+quota::BucketCounts read_age_buckets(const wire::TenantUsage& usage) {
+  quota::BucketCounts parts{};
   const auto told = std::min(parts.size(), usage.parts.size());
   std::copy_n(usage.parts.begin(), told, parts.begin());
   return parts;
 }
 
-wire::TenantUsage aged(const wire::TenantUsage& usage, net::Millis age, net::Millis window) {
+wire::TenantUsage age_usage(const wire::TenantUsage& usage, net::Millis age, net::Millis window) {
   auto later = usage;
   if (age >= window) {
     later.window = 0;
     later.parts.clear();
     return later;
   }
-  const auto parts = told_parts(usage);
-  const auto older = static_cast<std::size_t>(age / quota::part_of(window));
-  quota::PartCounts shifted{};
+  const auto parts = read_age_buckets(usage);
+  const auto older = static_cast<std::size_t>(age / quota::bucket_length(window));
+  quota::BucketCounts shifted{};
   for (std::size_t part = 0; part < parts.size(); ++part) {
     if (part + older < parts.size()) {
       shifted[part + older] = parts[part];
@@ -43,21 +43,21 @@
       later.window -= static_cast<std::int32_t>(parts[part]);
     }
   }
-  if (usage.__isset.parts) tell_parts(shifted, later);
+  if (usage.__isset.parts) write_age_buckets(shifted, later);
   return later;
 }
 
-void add_usages(const TenantUsages& usages, const UsageNews& news, TenantUsages& sum) {
+void merge_usages(const TenantUsages& usages, const UsageReportInfo& news, TenantUsages& sum) {
   for (const auto& [tenant, told] : usages) {
-    const auto usage = aged(told, news.age, news.window);
+    const auto usage = age_usage(told, news.age, news.window);
     auto& total = sum[tenant];
     total.window += usage.window;
     total.leaving_soon += usage.leaving_soon;
     if (news.still_asked) total.asked_per_s += usage.asked_per_s;
-    auto parts = told_parts(total);
-    const auto added = told_parts(usage);
+    auto parts = read_age_buckets(total);
+    const auto added = read_age_buckets(usage);
     std::transform(parts.begin(), parts.end(), added.begin(), parts.begin(), std::plus<>());
-    tell_parts(parts, total);
+    write_age_buckets(parts, total);
   }
 }
 
--- a/src/cluster/tenant_usage.hpp
+++ b/src/cluster/tenant_usage.hpp
@@ -19,25 +19,25 @@
 std::int32_t tenant_key(const std::string& tenant);
 
 /// Time for which nodes tell what will leave the window: about the age that news reaches.
-inline constexpr net::Millis kLeavingSoon{500};
+inline constexpr net::Millis kExpiringSoon{500};
 
 /// Writes requests by age into `usage`.
-void tell_parts(const quota::PartCounts& parts, wire::TenantUsage& usage);
-/// As tell_parts() wrote it; all zero when it was not told.
-quota::PartCounts told_parts(const wire::TenantUsage& usage);
+void write_age_buckets(const quota::BucketCounts& parts, wire::TenantUsage& usage);
+/// As write_age_buckets() wrote it; all zero when it was not told.
+quota::BucketCounts read_age_buckets(const wire::TenantUsage& usage);
 
 /// What of a node's requests may still lie within the window, so long after it told of them. Where
 /// it told no ages, all may have come just before.
-wire::TenantUsage aged(const wire::TenantUsage& usage, net::Millis age, net::Millis window);
+wire::TenantUsage age_usage(const wire::TenantUsage& usage, net::Millis age, net::Millis window);
 
 /// When and how what is added to a sum was told.
-struct UsageNews {
+struct UsageReportInfo {
   net::Millis age{0};
   net::Millis window{0};    ///< over which limits count
   bool still_asked = true;  ///< the nodes are asked for more
 };
 
 /// Adds what nodes let through to `sum`, as far as it still lies within the window.
-void add_usages(const TenantUsages& usages, const UsageNews& news, TenantUsages& sum);
+void merge_usages(const TenantUsages& usages, const UsageReportInfo& news, TenantUsages& sum);
 
 }  // namespace sailgate::cluster
--- a/src/cluster/told_figures.hpp
+++ b/src/cluster/told_figures.hpp
@@ -22,7 +22,7 @@
   CountByKey begun;      ///< programs of late that were let begin, by tenant
   TenantUsages tenants;  ///< requests that were let through
 
-  /// Adds all but the tenants, whose share depends on their age (add_usages()). Speeds become the
+  /// Adds all but the tenants, whose share depends on their age (merge_usages()). Speeds become the
   /// mean weighted by samples.
   void add(const ToldFigures& other);
 };
--- a/src/cluster/turn_keeper.cpp
+++ b/src/cluster/turn_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "cluster/turn_keeper.hpp"
+#include "cluster/turn_coordinator.hpp"
 
 #include <algorithm>
 
@@ -16,23 +16,23 @@
 constexpr const char* kEndPath = "/peer/turns/end";
 constexpr const char* kClosePath = "/peer/turns/close";
 /// The home's own time at the store: some tries of it, within these bounds.
-constexpr int kHomeStoreTries = 3;
-constexpr net::Millis kShortestHomeTime{180};
-constexpr net::Millis kLongestHomeTime{800};
+constexpr int kHomeStoreAttempts = 3;
+constexpr net::Millis kMinHomeStoreTime{180};
+constexpr net::Millis kMaxHomeStoreTime{800};
 /// A home that answers so much later than its time at the store is passed over.
 constexpr net::Millis kHomeMargin{70};
 constexpr net::Millis kEndTimeout{400};
 /// Pauses before an end that was not heard is told again.
-constexpr net::Millis kFirstEndPause{50};
-constexpr net::Millis kLongestEndPause{2000};
+constexpr net::Millis kInitialEndBackoff{50};
+constexpr net::Millis kMaxEndBackoff{2000};
 /// Callers come back to a program for about so long: later its tokens are of no use.
-constexpr net::Millis kEndPatience{std::chrono::seconds(60)};
+constexpr net::Millis kEndRetryTimeout{std::chrono::seconds(60)};
 constexpr net::Millis kReleaseTimeout{150};
 
 using ledger::LookupOutcome;
 using ledger::ReserveOutcome;
 
-net::Millis left_until(net::TimePoint deadline) {
+net::Millis time_until(net::TimePoint deadline) {
   return std::chrono::duration_cast<net::Millis>(deadline - net::Clock::now());
 }
 
@@ -43,7 +43,7 @@
 }
 
 /// @return nullopt: there was no answer, or none that can be read.
-std::optional<wire::BeginTurnReply> read_reply(const net::ExchangeResult& exchange) {
+std::optional<wire::BeginTurnReply> decode_reply(const net::ExchangeResult& exchange) {
   if (!succeeded(exchange)) return std::nullopt;
   try {
     return wire::decode<wire::BeginTurnReply>(exchange.response.body());
@@ -53,7 +53,7 @@
 }
 
 /// The end of a turn that generated nothing.
-wire::EndTurn unused(const wire::BeginTurn& begun) {
+wire::EndTurn unused_turn_end(const wire::BeginTurn& begun) {
   wire::EndTurn end;
   end.program = begun.program;
   end.line = begun.line;
@@ -62,15 +62,15 @@
   return end;
 }
 
-bool has_nothing_to_give(const net::ExchangeResult& exchange) {
+bool holds_no_unused_tokens(const net::ExchangeResult& exchange) {
   return exchange.failure == net::ExchangeFailure::kNone &&
          exchange.response.result() == net::http::status::no_content;
 }
 
 }  // namespace
 
-net::asio::awaitable<TurnStart> TurnKeeper::begin_here(TurnRequest request,
-                                                       net::TimePoint deadline) {
+net::asio::awaitable<TurnStart> TurnCoordinator::begin_locally(TurnRequest request,
+                                                               net::TimePoint deadline) {
   TurnStart start;
   if (mechanisms_.lines) start.engine = placements_.find(request.program.text(), request.line);
   if (!request.previous.empty()) {
@@ -85,45 +85,46 @@
   co_return start;
 }
 
-net::asio::awaitable<void> TurnKeeper::reserve(const TurnRequest& request, net::TimePoint deadline,
-                                               TurnStart& start) {
+net::asio::awaitable<void> TurnCoordinator::reserve(const TurnRequest& request,
+                                                    net::TimePoint deadline, TurnStart& start) {
   if (!store_.answers()) {
     // Waiting would make the program late; most turns use far less than their most.
     start.reserved =
         ledger_.budgets.reserve_rest(request.program.text(), request.tokens, request.budget);
     if (start.reserved > 0) co_return;
   }
-  start.reservation = co_await reserve_whole(request, deadline);
+  start.reservation = co_await reserve_full(request, deadline);
   if (start.reservation == ReserveOutcome::kReserved) start.reserved = request.tokens;
 }
 
-net::asio::awaitable<ReserveOutcome> TurnKeeper::reserve_whole(const TurnRequest& request,
-                                                               net::TimePoint deadline) {
+net::asio::awaitable<ReserveOutcome> TurnCoordinator::reserve_full(const TurnRequest& request,
+                                                                   net::TimePoint deadline) {
   auto outcome = co_await ledger_.budgets.reserve(request.program.text(), request.tokens,
                                                   request.budget, deadline);
   if (outcome != ReserveOutcome::kExhausted) co_return outcome;
   if (ledger_.budgets.exhausted_lately(request.program.text(), request.tokens)) co_return outcome;
-  const auto gathering = co_await gather_tokens(request.program.text());
-  if (gathering.released) {
+  const auto reclaimed = co_await reclaim_unused_tokens(request.program.text());
+  if (reclaimed.released) {
     outcome = co_await ledger_.budgets.reserve(request.program.text(), request.tokens,
                                                request.budget, deadline);
   }
   if (outcome != ReserveOutcome::kExhausted) co_return outcome;
-  // Tokens of a holder that lives and was not reached may be unused.
-  if (!gathering.all_answered) co_return ReserveOutcome::kUnavailable;
+  // Tokens of a holder that live and was not reached may be unused.
+  if (!reclaimed.all_answered) co_return ReserveOutcome::kUnavailable;
   // The owner of the program's shard may hold an escrow that this node does not know of.
-  if (!knows_whole_budget(request.program.text())) co_return ReserveOutcome::kUnavailable;
+  if (!has_full_budget_view(request.program.text())) co_return ReserveOutcome::kUnavailable;
   ledger_.budgets.note_exhausted(request.program.text(), request.tokens);
   co_return outcome;
 }
 
-bool TurnKeeper::knows_whole_budget(const std::string& program) const {
+bool TurnCoordinator::has_full_budget_view(const std::string& program) const {
   return !ledger_.escrow.enabled() || ledger_.escrow.owns(program);
 }
 
-net::asio::awaitable<TurnKeeper::Gathering> TurnKeeper::gather_tokens(std::string program) {
-  Gathering gathering;
-  if (!mechanisms_.gathering) co_return gathering;
+net::asio::awaitable<TurnCoordinator::ReclaimResult> TurnCoordinator::reclaim_unused_tokens(
+    std::string program) {
+  ReclaimResult reclaimed;
+  if (!mechanisms_.gathering) co_return reclaimed;
   const auto holders = ledger_.budgets.other_holders(program);
   for (const auto holder : holders) {
     const auto* peer = directory_.find(holder);
@@ -135,22 +136,23 @@
     const auto http = clients_.get(target);
     const auto exchange = co_await http->exchange(std::move(call), kReleaseTimeout);
     const bool done = succeeded(exchange);
-    const bool answered = done || has_nothing_to_give(exchange);
-    const bool lives = directory_.heard(holder, net::Clock::now(), beacons_.silence_limit());
-    gathering.released = gathering.released || done;
-    gathering.all_answered = gathering.all_answered && (answered || !lives);
+    const bool answered = done || holds_no_unused_tokens(exchange);
+    const bool live = directory_.heard(holder, net::Clock::now(), beacons_.silence_limit());
+    reclaimed.released = reclaimed.released || done;
+    reclaimed.all_answered = reclaimed.all_answered && (answered || !live);
     log_.event("tokens_gathered")
         .with("program", program)
         .with("peer", target.node)
         .with("done", static_cast<int>(done))
         .with("answered", static_cast<int>(answered))
-        .with("lives", static_cast<int>(lives));
+        .with("lives", static_cast<int>(live));
   }
-  co_return gathering;
+  co_return reclaimed;
 }
 
-net::asio::awaitable<bool> TurnKeeper::begin_at(Peer home, const TurnRequest& request,
-                                                net::TimePoint deadline, TurnStart& start) {
+net::asio::awaitable<bool> TurnCoordinator::begin_remotely(Peer home, const TurnRequest& request,
+                                                           net::TimePoint deadline,
+                                                           TurnStart& start) {
   wire::BeginTurn message;
   message.program = request.program.text();
   message.line = request.line;
@@ -158,10 +160,10 @@
   if (start.previous == nullptr) message.previous = request.previous.text();
   message.tokens = request.tokens;
   message.budget = request.budget;
-  const auto store_time = std::clamp(ledger_.budgets.store_patience() * kHomeStoreTries,
-                                     kShortestHomeTime, kLongestHomeTime);
+  const auto store_time = std::clamp(ledger_.budgets.store_patience() * kHomeStoreAttempts,
+                                     kMinHomeStoreTime, kMaxHomeStoreTime);
   const auto timeout =
-      std::max(std::min(store_time + kHomeMargin, left_until(deadline)), net::Millis(1));
+      std::max(std::min(store_time + kHomeMargin, time_until(deadline)), net::Millis(1));
   message.time_left_ms = static_cast<std::int32_t>(std::min(store_time, timeout).count());
   if (request.tokens > 0) {
     start.reservation_id = random_.identifier();
@@ -170,7 +172,7 @@
   const auto http = clients_.get(home);
   auto call = peer_request(kBeginPath, wire::encode(message));
   auto exchange = co_await http->exchange(std::move(call), timeout);
-  const auto reply = read_reply(exchange);
+  const auto reply = decode_reply(exchange);
   if (!reply) {
     directory_.suspect(home.node, net::Clock::now());
     log_.event("peer_lost")
@@ -180,12 +182,13 @@
         .with("waited_ms", timeout.count())
         .with("sent", static_cast<int>(exchange.failure != net::ExchangeFailure::kNotSent));
     if (exchange.failure != net::ExchangeFailure::kNotSent && request.tokens > 0) {
-      net::asio::co_spawn(context_, close_at(home, unused(message)), net::asio::detached);
+      net::asio::co_spawn(context_, close_remotely(home, unused_turn_end(message)),
+                          net::asio::detached);
     }
     co_return false;
   }
-  start.keeper = home.node;
-  start.keeper_incarnation = home.incarnation;
+  start.reservation_node = home.node;
+  start.reservation_node_incarnation = home.incarnation;
   start.reservation = static_cast<ReserveOutcome>(reply->reservation);
   start.engine = reply->engine;
   start.reserved = reply->reserved;
@@ -199,7 +202,7 @@
       ReserveOutcome::kUnavailable;
 }
 
-std::optional<Peer> TurnKeeper::home_of(const std::string& program) const {
+std::optional<Peer> TurnCoordinator::home_of(const std::string& program) const {
   if (!mechanisms_.homes) return std::nullopt;
   const auto now = net::Clock::now();
   const auto silence = beacons_.silence_limit();
@@ -214,24 +217,25 @@
   return directory_.home(program, now, silence);
 }
 
-net::asio::awaitable<TurnStart> TurnKeeper::begin(TurnRequest request, net::TimePoint deadline) {
+net::asio::awaitable<TurnStart> TurnCoordinator::begin(TurnRequest request,
+                                                       net::TimePoint deadline) {
   const bool needs_home = request.tokens > 0 || !request.previous.empty();
   if (!needs_home) co_return TurnStart{};
   const auto home = home_of(request.program.text());
   if (home) {
     TurnStart start;
-    if (co_await begin_at(*home, request, deadline, start)) co_return start;
+    if (co_await begin_remotely(*home, request, deadline, start)) co_return start;
   }
-  co_return co_await begin_here(std::move(request), deadline);
+  co_return co_await begin_locally(std::move(request), deadline);
 }
 
-void TurnKeeper::end(const TurnEnd& end, const TurnStart& start) {
-  if (start.keeper.empty()) {
+void TurnCoordinator::end(const TurnEnd& end, const TurnStart& start) {
+  if (start.reservation_node.empty()) {
     if (end.reserved > 0) ledger_.budgets.settle(end.program.text(), end.reserved, end.used);
     if (!end.engine.empty()) placements_.note(end.program.text(), end.line, end.engine);
     return;
   }
-  const auto* peer = directory_.find(start.keeper_incarnation);
+  const auto* peer = directory_.find(start.reservation_node_incarnation);
   if (peer == nullptr) return;  // what was reserved there counts as used
   wire::EndTurn message;
   message.program = end.program.text();
@@ -241,39 +245,39 @@
   message.used = end.used;
   message.engine = end.engine;
   if (end.turn != nullptr) message.chain = ledger::encode_whole_chain(*end.turn);
-  net::asio::co_spawn(context_, end_at(*peer, std::move(message)), net::asio::detached);
+  net::asio::co_spawn(context_, end_remotely(*peer, std::move(message)), net::asio::detached);
 }
 
-net::asio::awaitable<std::optional<net::http::status>> TurnKeeper::close_at(Peer home,
-                                                                            wire::EndTurn message) {
-  const auto last_try = net::Clock::now() + kEndPatience;
-  auto pause = kFirstEndPause;
-  while (directory_.find(home.incarnation) != nullptr && net::Clock::now() < last_try) {
+net::asio::awaitable<std::optional<net::http::status>> TurnCoordinator::close_remotely(
+    Peer home, wire::EndTurn message) {
+  const auto give_up_at = net::Clock::now() + kEndRetryTimeout;
+  auto backoff = kInitialEndBackoff;
+  while (directory_.find(home.incarnation) != nullptr && net::Clock::now() < give_up_at) {
     const auto http = clients_.get(home);
     auto call = peer_request(kClosePath, wire::encode(message));
     const auto exchange = co_await http->exchange(std::move(call), kEndTimeout);
     if (exchange.failure == net::ExchangeFailure::kNone) co_return exchange.response.result();
     // Only the first try brings the turn for the home's cache: tries may wait in large numbers.
     message.chain = {};
-    co_await net::sleep_for(context_, pause);
-    pause = std::min(pause * 2, kLongestEndPause);
+    co_await net::sleep_for(context_, backoff);
+    backoff = std::min(backoff * 2, kMaxEndBackoff);
   }
-  log_untold(home, message);
+  log_undelivered_end(home, message);
   co_return std::nullopt;
 }
 
-net::asio::awaitable<void> TurnKeeper::end_at(Peer home, wire::EndTurn message) {
+net::asio::awaitable<void> TurnCoordinator::end_remotely(Peer home, wire::EndTurn message) {
   if (message.__isset.reservation_id) {
-    const auto heard = co_await close_at(home, message);
+    const auto heard = co_await close_remotely(home, message);
     if (heard != net::http::status::not_found) co_return;
   }
   const auto http = clients_.get(home);
   auto call = peer_request(kEndPath, wire::encode(message));
   const auto exchange = co_await http->exchange(std::move(call), kEndTimeout);
-  if (!succeeded(exchange)) log_untold(home, message);
+  if (!succeeded(exchange)) log_undelivered_end(home, message);
 }
 
-void TurnKeeper::log_untold(const Peer& home, const wire::EndTurn& message) {
+void TurnCoordinator::log_undelivered_end(const Peer& home, const wire::EndTurn& message) {
   log_.event("turn_end_untold")
       .with("peer", home.node)
       .with("program", message.program)
@@ -281,17 +285,18 @@
       .with("used", message.used);
 }
 
-net::asio::awaitable<void> TurnKeeper::serve_begin(const net::TextRequest& request,
-                                                   net::TextResponse& response) {
+net::asio::awaitable<void> TurnCoordinator::serve_begin(const net::TextRequest& request,
+                                                        net::TextResponse& response) {
   const auto message = wire::decode<wire::BeginTurn>(request.body());
-  const auto time = std::clamp(net::Millis(message.time_left_ms), net::Millis(0), kLongestHomeTime);
+  const auto time =
+      std::clamp(net::Millis(message.time_left_ms), net::Millis(0), kMaxHomeStoreTime);
   TurnRequest turn;
   turn.program = tenancy::StateKey::from_text(message.program);
   turn.line = message.line;
   turn.previous = tenancy::StateKey::from_text(message.previous);
   turn.tokens = message.tokens;
   turn.budget = message.budget;
-  auto start = co_await begin_here(std::move(turn), net::Clock::now() + time);
+  auto start = co_await begin_locally(std::move(turn), net::Clock::now() + time);
   if (start.reserved > 0 && message.__isset.reservation_id) {
     const bool wanted = reservations_.open(message.reservation_id,
                                            {message.program, start.reserved}, net::Clock::now());
@@ -310,28 +315,28 @@
   response.body() = wire::encode(reply);
 }
 
-void TurnKeeper::note_end(const wire::EndTurn& message) {
+void TurnCoordinator::record_end(const wire::EndTurn& message) {
   if (!message.engine.empty()) placements_.note(message.program, message.line, message.engine);
   if (!message.chain.segments.empty()) ledger_.turns.remember_chain(message.chain, nullptr);
 }
 
-void TurnKeeper::serve_end(const net::TextRequest& request) {
+void TurnCoordinator::serve_end(const net::TextRequest& request) {
   const auto message = wire::decode<wire::EndTurn>(request.body());
   if (message.reserved > 0) {
     ledger_.budgets.settle(message.program, message.reserved, message.used);
   }
-  note_end(message);
+  record_end(message);
 }
 
-void TurnKeeper::serve_close(const net::TextRequest& request) {
+void TurnCoordinator::serve_close(const net::TextRequest& request) {
   const auto message = wire::decode<wire::EndTurn>(request.body());
   const auto open = reservations_.close(message.reservation_id, net::Clock::now());
   if (!open) return;
   ledger_.budgets.settle(open->program, open->tokens, message.used);
-  note_end(message);
+  record_end(message);
 }
 
-net::asio::awaitable<net::TextResponse> TurnKeeper::serve(net::TextRequest request) {
+net::asio::awaitable<net::TextResponse> TurnCoordinator::serve(net::TextRequest request) {
   net::TextResponse response;
   if (request.target() == kBeginPath) {
     co_await serve_begin(request, response);
--- a/src/cluster/turn_keeper.hpp
+++ b/src/cluster/turn_coordinator.hpp
@@ -39,11 +39,11 @@
   ledger::LookupOutcome lookup = ledger::LookupOutcome::kFound;
   ledger::TurnPointer previous;
   ledger::ReserveOutcome reservation = ledger::ReserveOutcome::kReserved;
-  std::int64_t reserved = 0;  ///< tokens; fewer than asked for while the store is away
-  std::string engine;         ///< ran the line's last turn; empty: not known
-  std::string keeper;         ///< node that keeps the reservation; empty: this one
-  std::int64_t keeper_incarnation = 0;
-  ReservationId reservation_id = 0;  ///< at the keeper
+  std::int64_t reserved = 0;     ///< tokens; fewer than asked for while the store is away
+  std::string engine;            ///< ran the line's last turn; empty: not known
+  std::string reservation_node;  ///< node that keeps the reservation; empty: this one
+  std::int64_t reservation_node_incarnation = 0;
+  ReservationId reservation_id = 0;  ///< at the reservation_node
 };
 
 /// What is known of a turn when it has ended.
@@ -57,12 +57,12 @@
 };
 
 /// Not thread-safe: belongs to the event loop.
-class TurnKeeper {
+class TurnCoordinator {
  public:
-  TurnKeeper(net::asio::io_context& context, ledger::ProgramLedger& ledger,
-             PeerDirectory& directory, PeerClients& clients, const BeaconSender& beacons,
-             const StoreRelay& store, const base::Mechanisms& mechanisms,
-             observe::StructuredLog& log, std::uint64_t seed)
+  TurnCoordinator(net::asio::io_context& context, ledger::ProgramLedger& ledger,
+                  PeerDirectory& directory, PeerClients& clients, const BeaconSender& beacons,
+                  const StoreRelay& store, const base::Mechanisms& mechanisms,
+                  observe::StructuredLog& log, std::uint64_t seed)
       : context_(context),
         ledger_(ledger),
         directory_(directory),
@@ -83,38 +83,39 @@
 
  private:
   /// What the other holders of a program's tokens said.
-  struct Gathering {
+  struct ReclaimResult {
     bool released = false;     ///< some gave tokens back
     bool all_answered = true;  ///< of those that live
   };
 
   /// Node that keeps the program's tokens; nullopt: this one.
   std::optional<Peer> home_of(const std::string& program) const;
-  net::asio::awaitable<TurnStart> begin_here(TurnRequest request, net::TimePoint deadline);
+  net::asio::awaitable<TurnStart> begin_locally(TurnRequest request, net::TimePoint deadline);
   /// Reserves tokens for a turn and notes in `start` how that ended.
   net::asio::awaitable<void> reserve(const TurnRequest& request, net::TimePoint deadline,
                                      TurnStart& start);
   /// Reserves all tokens, those included that other holders do not use.
-  net::asio::awaitable<ledger::ReserveOutcome> reserve_whole(const TurnRequest& request,
-                                                             net::TimePoint deadline);
+  net::asio::awaitable<ledger::ReserveOutcome> reserve_full(const TurnRequest& request,
+                                                            net::TimePoint deadline);
   /// Whether this node can say that the program's budget is exhausted.
-  bool knows_whole_budget(const std::string& program) const;
+  bool has_full_budget_view(const std::string& program) const;
   /// Asks the other holders of a program's tokens for what they do not use.
-  net::asio::awaitable<Gathering> gather_tokens(std::string program);
-  net::asio::awaitable<bool> begin_at(Peer home, const TurnRequest& request,
-                                      net::TimePoint deadline, TurnStart& start);
-  net::asio::awaitable<void> end_at(Peer home, wire::EndTurn message);
+  net::asio::awaitable<ReclaimResult> reclaim_unused_tokens(std::string program);
+  net::asio::awaitable<bool> begin_remotely(Peer home, const TurnRequest& request,
+                                            net::TimePoint deadline, TurnStart& start);
+  net::asio::awaitable<void> end_remotely(Peer home, wire::EndTurn message);
   /// Tells a home the end of a named reservation until it has heard it, at most for a minute.
   /// @return its answer; nullopt: it was not heard.
-  net::asio::awaitable<std::optional<net::http::status>> close_at(Peer home, wire::EndTurn message);
-  void log_untold(const Peer& home, const wire::EndTurn& message);
+  net::asio::awaitable<std::optional<net::http::status>> close_remotely(Peer home,
+                                                                        wire::EndTurn message);
+  void log_undelivered_end(const Peer& home, const wire::EndTurn& message);
   net::asio::awaitable<void> serve_begin(const net::TextRequest& request,
                                          net::TextResponse& response);
   /// The end of a reservation without a name, which is told once.
   void serve_end(const net::TextRequest& request);
   /// The end of a named reservation, which may be told repeatedly.
   void serve_close(const net::TextRequest& request);
-  void note_end(const wire::EndTurn& message);
+  void record_end(const wire::EndTurn& message);
 
   net::asio::io_context& context_;
   ledger::ProgramLedger& ledger_;
@@ -125,8 +126,8 @@
   const base::Mechanisms& mechanisms_;
   observe::StructuredLog& log_;
   /// Programs whose engines are remembered: about 200 bytes each.
-  static constexpr std::size_t kMostPlacements = 20'000;
-  balancing::LinePlacements placements_{kMostPlacements};  ///< of programs whose home this node is
+  static constexpr std::size_t kMaxPlacements = 20'000;
+  balancing::LinePlacements placements_{kMaxPlacements};  ///< of programs whose home this node is
   base::Random random_;
   OpenReservations reservations_;
 };
--- a/src/quota/admission.hpp
+++ b/src/quota/admission.hpp
@@ -11,28 +11,28 @@
 
 /// What one node knows of a tenant's requests, its own and those of the other nodes.
 struct FleetUsage {
-  double own = 0;     ///< requests that this node let through within the window
-  double others = 0;  ///< by nodes that are heard of, as they told last
-  double silent = 0;  ///< by nodes that fell silent, as far as they still lie within the window
-  double unseen = 0;  ///< most that the others let through since: all that is asked of them
-  double left = 0;    ///< of `others`, what has left the window since
-  PartCounts told_by_age{};    ///< `own` and `others`
-  PartCounts silent_by_age{};  ///< `silent`
-  PartCounts left_by_age{};    ///< of each part of `others`, what has grown older since
-  double restarted = 0;        ///< share of nodes that started within the window
-  double forgotten = 0;  ///< share of nodes that started within the window, each by the part of the
-                         ///< window before its start of which nobody told
-  double live = 1;  ///< share of the known nodes that are heard of, this one among them; 0: the
-                    ///< nodes are not known yet
+  double own = 0;         ///< requests that this node let through within the window
+  double others = 0;      ///< by nodes that are heard of, as they told last
+  double silent = 0;      ///< by nodes that fell silent, as far as they still lie within the window
+  double unreported = 0;  ///< most that the others let through since: all that is asked of them
+  double expired = 0;     ///< of `others`, what has left the window since
+  BucketCounts reported_by_age{};  ///< `own` and `others`
+  BucketCounts silent_by_age{};    ///< `silent`
+  BucketCounts expired_by_age{};   ///< of each part of `others`, what has grown older since
+  double restarted_share = 0;      ///< share of nodes that started within the window
+  double unknown_history = 0;  ///< share of nodes that started within the window, each by the part
+                               ///< of the window before its start of which nobody told
+  double live_share = 1;  ///< share of the known nodes that are heard of, this one among them; 0:
+                          ///< the nodes are not known yet
 };
 
 /// Requests above the limit that programs under way may use: nodes need not agree to the last one.
-double reserve_of(const Limit& limit, const Bounds& bounds);
+double allowance_above_limit(const Limit& limit, const Bounds& bounds);
 
 /// What a request is to its program.
 enum class ProgramStage {
-  kFirst,     ///< it may be the program's first: nothing is lost yet when it is refused
-  kUnderWay,  ///< the program has cost work, which is lost when it is refused
+  kNew,         ///< it may be the program's first: nothing is lost yet when it is refused
+  kInProgress,  ///< the program has cost work, which is lost when it is refused
 };
 
 /// The decision with what it was made from, for the log.
@@ -40,14 +40,14 @@
   bool admitted = false;
   double used = 0;             ///< requests that count against the tightest bound
   double counted = 0;          ///< of these, those that nodes told of
-  bool inside = false;         ///< with this request the counted ones are within the limit
+  bool within_limit = false;   ///< with this request the counted ones are within the limit
   double allowed = 0;          ///< the tightest bound on them for this request
   net::Millis span{0};         ///< that the tightest bound is for
   net::Millis retry_after{0};  ///< when there may be room; 0 when admitted
 };
 
-/// The target lies between the limit and what may be exceeded at most: all requests inside the
-/// limit are let through, and what is left absorbs what the news of other nodes is late by.
+/// The target lies between the limit and what may be exceeded at most: all requests within_limit
+/// the limit are let through, and what is left absorbs what the news of other nodes is late by.
 ///
 /// - Nodes that are cut off from each other share the target by their number, so that any groups of
 ///   them together stay below it.
--- a/src/quota/recent_programs.hpp
+++ b/src/quota/recent_programs.hpp
@@ -7,13 +7,13 @@
 
 namespace sailgate::quota {
 
-/// Remembers at least the last `most` programs and at most twice as many. Not thread-safe.
+/// Remembers at least the last `min_size` programs and at min_size twice as many. Not thread-safe.
 class RecentPrograms {
  public:
-  explicit RecentPrograms(std::size_t most) : most_(most) {}
+  explicit RecentPrograms(std::size_t min_size) : min_size_(min_size) {}
 
-  void note(const std::string& program) {
-    if (newer_.size() >= most_) {
+  void add(const std::string& program) {
+    if (newer_.size() >= min_size_) {
       older_ = std::move(newer_);
       newer_.clear();
     }
@@ -24,7 +24,7 @@
   }
 
  private:
-  std::size_t most_;
+  std::size_t min_size_;
   std::unordered_set<std::string> newer_;
   std::unordered_set<std::string> older_;
 };
--- a/src/quota/usage_window.cpp
+++ b/src/quota/usage_window.cpp
@@ -12,7 +12,7 @@
   ++slices_.back().count;
 }
 
-void UsageWindow::take_back(net::TimePoint then) {
+void UsageWindow::refund(net::TimePoint then) {
   const auto number = slice_at(then);
   for (auto& slice : slices_) {
     if (slice.number == number && slice.count > 0) --slice.count;
@@ -30,9 +30,9 @@
   return count;
 }
 
-PartCounts UsageWindow::parts(net::TimePoint now, net::Millis window) {
-  const auto length = part_of(window);
-  PartCounts parts{};
+BucketCounts UsageWindow::parts(net::TimePoint now, net::Millis window) {
+  const auto length = bucket_length(window);
+  BucketCounts parts{};
   int counted = 0;
   for (std::size_t part = 0; part < parts.size(); ++part) {
     const int within_span = within(now, length * static_cast<std::int64_t>(part + 1));
--- a/src/quota/usage_window.hpp
+++ b/src/quota/usage_window.hpp
@@ -18,13 +18,13 @@
 
   void add(net::TimePoint now);
   /// Takes back a request that was added at `then`.
-  void take_back(net::TimePoint then);
+  void refund(net::TimePoint then);
   /// Requests within `span` before `now`.
   int within(net::TimePoint now, net::Millis span);
   /// Requests within `window` before `now`, by their age.
-  PartCounts parts(net::TimePoint now, net::Millis window);
+  BucketCounts parts(net::TimePoint now, net::Millis window);
   /// Of the requests within `span` before `now`, those that leave it within `soon` from now on.
-  int leaving(net::TimePoint now, net::Millis span, net::Millis soon) {
+  int count_expiring(net::TimePoint now, net::Millis span, net::Millis soon) {
     return within(now, span) - within(now, span - soon);
   }
   bool empty() const { return slices_.empty(); }
--- a/src/quota/window_parts.hpp
+++ b/src/quota/window_parts.hpp
@@ -11,18 +11,18 @@
 
 namespace sailgate::quota {
 
-constexpr std::size_t kWindowParts = 10;
+constexpr std::size_t kWindowBuckets = 10;
 
-/// Requests of each tenth of a window, the latest first.
-using PartCounts = std::array<double, kWindowParts>;
+/// Requests of each tenth of a window, the sum_latest_buckets first.
+using BucketCounts = std::array<double, kWindowBuckets>;
 
 /// Length of a part.
-inline net::Millis part_of(net::Millis window) {
-  return std::max(window / static_cast<std::int64_t>(kWindowParts), net::Millis(1));
+inline net::Millis bucket_length(net::Millis window) {
+  return std::max(window / static_cast<std::int64_t>(kWindowBuckets), net::Millis(1));
 }
 
-/// Requests of the latest `parts` parts.
-inline double latest(const PartCounts& counts, std::size_t parts) {
+/// Requests of the sum_latest_buckets `parts` parts.
+inline double sum_latest_buckets(const BucketCounts& counts, std::size_t parts) {
   return std::accumulate(counts.begin(), counts.begin() + parts, 0.0);
 }
 
--- a/src/serving/call_handler.cpp
+++ b/src/serving/call_handler.cpp
@@ -85,13 +85,13 @@
 net::asio::awaitable<void> CallHandler::admit(Call& call, cluster::QuotaRequest request) {
   auto now = net::Clock::now();
   call.admission = state_.quotas.admit(*call.tenant, request, now);
-  const bool refused_inside = !call.admission.admitted && call.admission.inside;
-  if (refused_inside && state_.quotas.awaits_news(now)) {
+  const bool refused_inside = !call.admission.admitted && call.admission.within_limit;
+  if (refused_inside && state_.quotas.awaits_peer_reports(now)) {
     // A refusal for want of news would cost the caller a try that its tenant's limit allows.
-    const auto wait = state_.quotas.time_to_ask_again(now);
+    const auto wait = state_.quotas.peer_report_retry_delay(now);
     if (wait < call.time_left()) {
       co_await net::sleep_for(state_.context, wait);
-      request.asked_before = true;
+      request.is_retry = true;
       now = net::Clock::now();
       call.admission = state_.quotas.admit(*call.tenant, request, now);
     }
@@ -121,11 +121,11 @@
       .with("allowed", admission.allowed)
       .with("counted", admission.counted)
       .with("span_ms", admission.span.count())
-      .with("inside", static_cast<int>(admission.inside))
+      .with("inside", static_cast<int>(admission.within_limit))
       .with("continues", static_cast<int>(request.continues))
       .with("nodes", membership.known)
       .with("nodes_heard", membership.heard)
-      .with("restarted", membership.restarted)
+      .with("restarted", membership.restarted_share)
       .with("retry_after_ms", admission.retry_after.count());
   co_return co_await refuse(call, Kind::kTenantLimited, admission.retry_after);
 }
@@ -185,7 +185,7 @@
     channel.unwatch();
   }
   --state_.active_requests;
-  if (taken_back(call)) state_.quotas.take_back(*call.tenant, call.admitted_at);
+  if (taken_back(call)) state_.quotas.refund(*call.tenant, call.admitted_at);
   log_end(call, end);
   co_return end.connection_usable&& channel.keep();
 }
--- a/src/serving/gateway.cpp
+++ b/src/serving/gateway.cpp
@@ -111,7 +111,7 @@
   state_.beacons.start();
   net::asio::co_spawn(context_, accept(), net::asio::detached);
   feeds_.start();
-  net::asio::co_spawn(context_, state_.store.keep_probing(), net::asio::detached);
+  net::asio::co_spawn(context_, state_.store.probe_loop(), net::asio::detached);
   net::asio::co_spawn(context_, maintain(), net::asio::detached);
   net::asio::co_spawn(context_, state_.sweeper.run(), net::asio::detached);
   if (state_.settings.mechanisms.escrow) {
--- a/src/serving/stream_call.cpp
+++ b/src/serving/stream_call.cpp
@@ -190,7 +190,7 @@
   const auto deadline =
       std::min(call_.deadline - kEngineTime, call_.received_at + held_for_ + kStoreHold);
   start_ = co_await state_.turns.begin(request, deadline);
-  call_.home = start_.keeper;
+  call_.home = start_.reservation_node;
   call_.line_engine = start_.engine;
   if (start_.lookup == ledger::LookupOutcome::kAbsent) {
     co_return co_await refuse(call_, Kind::kUnknownTurn);
--- a/tests/cluster/cluster_test.cpp
+++ b/tests/cluster/cluster_test.cpp
@@ -67,7 +67,7 @@
   const auto program = program_at_second();
   const auto start = begin(first, program, 100);
   REQUIRE(start.reservation == ReserveOutcome::kReserved);
-  REQUIRE(start.keeper == "second");
+  REQUIRE(start.reservation_node == "second");
   const int writes = table.writes();
   REQUIRE(begin(second, program, 100).reservation == ReserveOutcome::kReserved);
   REQUIRE(table.writes() == writes);
@@ -87,10 +87,10 @@
 
 TEST_CASE_METHOD(Fixture, "a lost home is passed over, and the row still decides", "[cluster]") {
   const auto program = program_at_second();
-  REQUIRE(begin(first, program, 400).keeper == "second");
+  REQUIRE(begin(first, program, 400).reservation_node == "second");
   first.state().peers.suspect("second", net::Clock::now() + net::Millis(60'000));
   const auto start = begin(first, program, 500);
-  REQUIRE(start.keeper.empty());
+  REQUIRE(start.reservation_node.empty());
   REQUIRE(start.reservation == ReserveOutcome::kReserved);
   REQUIRE(begin(first, program, 101).reservation == ReserveOutcome::kExhausted);
 }
@@ -98,7 +98,7 @@
 TEST_CASE_METHOD(Fixture, "tokens that another node holds idle are gathered", "[cluster]") {
   const auto program = program_at_second();
   const auto start = begin(first, program, 600);
-  REQUIRE(start.keeper == "second");
+  REQUIRE(start.reservation_node == "second");
   first.state().turns.end({tenancy::StateKey("", program), "", 600, 100, nullptr, ""}, start);
   run_until(context, [&] {
     // The home has settled when it can reserve again what was not used.
@@ -235,8 +235,8 @@
   REQUIRE(owned_by(*first) > kShards / 4);
   REQUIRE(owned_by(*second) > kShards / 4);
   const auto program = program_of(*second);
-  REQUIRE(begin(*first, program, 100).keeper == "second");
-  REQUIRE(begin(*second, program, 100).keeper.empty());
+  REQUIRE(begin(*first, program, 100).reservation_node == "second");
+  REQUIRE(begin(*second, program, 100).reservation_node.empty());
 }
 
 TEST_CASE_METHOD(EscrowFixture, "any node begins programs while the store is away",
--- a/tests/cluster/fleet_usage_test.cpp
+++ b/tests/cluster/fleet_usage_test.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr std::int32_t kChoir = 7;
+constexpr std::int32_t kTenantKey = 7;
 
 wire::Beacon beacon_with_usage(std::int64_t incarnation, int window, int asked_per_s) {
   auto message = beacon(incarnation);
   wire::TenantUsage usage;
   usage.window = window;
   usage.asked_per_s = asked_per_s;
-  message.__set_tenants({{kChoir, usage}});
+  message.__set_tenants({{kTenantKey, usage}});
   return message;
 }
 
@@ -29,11 +29,11 @@
   directory.on_beacon(beacon_with_usage(1, 30, 10), now);
   directory.on_beacon(beacon_with_usage(2, 50, 20), now);
   const auto later = now + net::Millis(300);
-  const auto others = usage_of_others(directory, kChoir, later, kSilence, kWindow);
-  REQUIRE(others.heard == Approx(80));
-  REQUIRE(others.unseen == Approx(9));
+  const auto others = peer_usage(directory, kTenantKey, later, kSilence, kWindow);
+  REQUIRE(others.reported == Approx(80));
+  REQUIRE(others.unreported == Approx(9));
   REQUIRE(others.silent == Approx(0));
-  REQUIRE(usage_of_others(directory, kChoir + 1, later, kSilence, kWindow).heard == Approx(0));
+  REQUIRE(peer_usage(directory, kTenantKey + 1, later, kSilence, kWindow).reported == Approx(0));
 }
 
 TEST_CASE_METHOD(DirectoryFixture,
@@ -41,10 +41,10 @@
                  "[cluster][quota]") {
   directory.on_beacon(beacon_with_usage(1, 30, 10), now);
   const auto at = [&](net::Millis time) {
-    return usage_of_others(directory, kChoir, now + time, kSilence, kWindow);
+    return peer_usage(directory, kTenantKey, now + time, kSilence, kWindow);
   };
-  REQUIRE(at(kSilence).heard == Approx(0));
-  REQUIRE(at(kSilence).unseen == Approx(0));
+  REQUIRE(at(kSilence).reported == Approx(0));
+  REQUIRE(at(kSilence).unreported == Approx(0));
   REQUIRE(at(kSilence).silent == Approx(30));
   // All of it may have come just before it was told.
   REQUIRE(at(kWindow - net::Millis(1)).silent == Approx(30));
@@ -54,16 +54,16 @@
 TEST_CASE_METHOD(DirectoryFixture, "what a lost node told by age leaves the window part by part",
                  "[cluster][quota]") {
   auto message = beacon_with_usage(1, 30, 10);
-  message.tenants[kChoir].__set_parts({5, 0, 0, 0, 0, 0, 0, 0, 10, 15});
+  message.tenants[kTenantKey].__set_parts({5, 0, 0, 0, 0, 0, 0, 0, 10, 15});
   directory.on_beacon(message, now);
   const auto at = [&](int ms) {
-    return usage_of_others(directory, kChoir, now + net::Millis(ms), kSilence, kWindow);
+    return peer_usage(directory, kTenantKey, now + net::Millis(ms), kSilence, kWindow);
   };
-  REQUIRE(at(0).heard == Approx(30));
-  REQUIRE(at(0).heard_by_age[0] == Approx(5));
+  REQUIRE(at(0).reported == Approx(30));
+  REQUIRE(at(0).reported_by_age[0] == Approx(5));
   // A fifth of what was in the oldest part has left it, and the window.
-  REQUIRE(at(100).left == Approx(3));
-  REQUIRE(at(100).left_by_age[8] == Approx(2));
+  REQUIRE(at(100).expired == Approx(3));
+  REQUIRE(at(100).expired_by_age[8] == Approx(2));
   REQUIRE(at(1000).silent == Approx(5));
   REQUIRE(at(1000).silent_by_age[2] == Approx(5));
   REQUIRE(at(4999).silent == Approx(5));
@@ -75,10 +75,10 @@
   directory.on_beacon(beacon_with_usage(1, 30, 10), now);
   double before = 30;
   for (auto age = net::Millis(0); age <= kSilence; age += net::Millis(50)) {
-    const auto others = usage_of_others(directory, kChoir, now + age, kSilence, kWindow);
-    REQUIRE(others.heard <= before);
-    REQUIRE(others.heard + others.silent == Approx(30));
-    before = others.heard;
+    const auto others = peer_usage(directory, kTenantKey, now + age, kSilence, kWindow);
+    REQUIRE(others.reported <= before);
+    REQUIRE(others.reported + others.silent == Approx(30));
+    before = others.reported;
   }
   REQUIRE(before == Approx(0));
   const auto seen = membership_of(directory, now + kSilence / 2, kSilence, kWindow, now);
@@ -95,13 +95,13 @@
   message.__set_sent_ms(1200);
   const auto woke = now + net::Millis(3000);
   REQUIRE(directory.on_beacon(message, woke) == now + net::Millis(200));
-  REQUIRE(usage_of_others(directory, kChoir, woke, kSilence, kWindow).heard == Approx(0));
-  REQUIRE(usage_of_others(directory, kChoir, woke, kSilence, kWindow).silent == Approx(30));
+  REQUIRE(peer_usage(directory, kTenantKey, woke, kSilence, kWindow).reported == Approx(0));
+  REQUIRE(peer_usage(directory, kTenantKey, woke, kSilence, kWindow).silent == Approx(30));
   // A beacon that is overtaken does not take the place of a newer one.
   message = beacon_with_usage(1, 5, 1);
   message.__set_sent_ms(1100);
   directory.on_beacon(message, woke);
-  REQUIRE(usage_of_others(directory, kChoir, woke, kSilence, kWindow).silent == Approx(30));
+  REQUIRE(peer_usage(directory, kTenantKey, woke, kSilence, kWindow).silent == Approx(30));
 }
 
 TEST_CASE_METHOD(DirectoryFixture, "a summary that waited does not take the place of a newer one",
@@ -110,19 +110,19 @@
   summary.zone = "there";
   wire::TenantUsage usage;
   usage.window = 40;
-  summary.__set_tenants({{kChoir, usage}});
+  summary.__set_tenants({{kTenantKey, usage}});
   directory.on_summary(summary, now);
   usage.window = 10;
-  summary.__set_tenants({{kChoir, usage}});
+  summary.__set_tenants({{kTenantKey, usage}});
   directory.on_summary(summary, now - net::Millis(100));
-  REQUIRE(usage_of_others(directory, kChoir, now, kSilence, kWindow).heard == Approx(40));
+  REQUIRE(peer_usage(directory, kTenantKey, now, kSilence, kWindow).reported == Approx(40));
 }
 
 TEST_CASE_METHOD(DirectoryFixture, "a process that left counts on, also when it had told nothing",
                  "[cluster][quota]") {
   directory.remove("near");
   directory.on_beacon(beacon_with_usage(1, 30, 10), now);
-  REQUIRE(usage_of_others(directory, kChoir, now, kSilence, kWindow).heard == Approx(30));
+  REQUIRE(peer_usage(directory, kTenantKey, now, kSilence, kWindow).reported == Approx(30));
   REQUIRE(directory.departed().serving(now, kSilence).size() == 1);
   REQUIRE(directory.departed().serving(now + kSilence, kSilence).empty());
 }
@@ -137,8 +137,8 @@
   // Told by the node itself before; the sum of its zone takes its place.
   directory.on_beacon(beacon_with_usage(2, 10, 1), now);
   directory.on_summary(summary, now);
-  const auto others = usage_of_others(directory, kChoir, now, kSilence, kWindow);
-  REQUIRE(others.heard == Approx(50));
+  const auto others = peer_usage(directory, kTenantKey, now, kSilence, kWindow);
+  REQUIRE(others.reported == Approx(50));
 }
 
 TEST_CASE_METHOD(DirectoryFixture, "nodes that have just started are known to have forgotten",
@@ -152,15 +152,15 @@
   REQUIRE(seen.known == 3);
   REQUIRE(seen.heard == 3);
   // Four fifths of the window lie before its start, and the part in which spans are looked at.
-  REQUIRE(seen.restarted == Approx(1.0 / 3));
-  REQUIRE(seen.forgotten == Approx(0.9 / 3));
+  REQUIRE(seen.restarted_share == Approx(1.0 / 3));
+  REQUIRE(seen.unknown_history == Approx(0.9 / 3));
   // All of them, this one too.
   auto other = beacon(2);
   other.__set_uptime_ms(0);
   directory.on_beacon(other, now);
   const auto anew = membership_of(directory, now, kSilence, kWindow, now);
-  REQUIRE(anew.restarted == Approx(1));
-  REQUIRE(anew.forgotten == Approx((0.9 + 1 + 1) / 3));
+  REQUIRE(anew.restarted_share == Approx(1));
+  REQUIRE(anew.unknown_history == Approx((0.9 + 1 + 1) / 3));
   const auto later = now + net::Millis(900);
   REQUIRE(membership_of(directory, later, kSilence, kWindow, started).heard == 1);
 }
@@ -168,7 +168,7 @@
 TEST_CASE_METHOD(DirectoryFixture, "a node that began later learns what a lost process let through",
                  "[cluster][quota]") {
   auto message = beacon_with_usage(1, 30, 10);
-  message.tenants[kChoir].__set_parts({30});
+  message.tenants[kTenantKey].__set_parts({30});
   // The other nodes have heard it as well.
   const auto told_at = now + net::Millis(1000);
   directory.on_beacon(message, told_at);
@@ -187,14 +187,14 @@
   news.__set_silent(lost);
   learner.on_beacon(news, lost_at);
   const auto learned = [&](net::TimePoint at) {
-    return usage_of_others(learner, kChoir, at, kSilence, kWindow);
+    return peer_usage(learner, kTenantKey, at, kSilence, kWindow);
   };
   REQUIRE(learned(lost_at).silent == Approx(30));
   // As old as the process's last word, not as the news.
   REQUIRE(learned(told_at + kWindow).silent == Approx(0));
   // It is heard after all, and counts once.
   learner.on_beacon(message, lost_at);
-  REQUIRE(learned(lost_at).heard + learned(lost_at).silent == Approx(30));
+  REQUIRE(learned(lost_at).reported + learned(lost_at).silent == Approx(30));
 }
 
 TEST_CASE_METHOD(DirectoryFixture, "nobody learns of itself from others", "[cluster][quota]") {
@@ -206,7 +206,7 @@
   process.tenants = beacon_with_usage(5, 30, 0).tenants;
   news.__set_silent({process});
   directory.on_beacon(news, now);
-  REQUIRE(usage_of_others(directory, kChoir, now, kSilence, kWindow).silent == Approx(0));
+  REQUIRE(peer_usage(directory, kTenantKey, now, kSilence, kWindow).silent == Approx(0));
 }
 
 TEST_CASE_METHOD(DirectoryFixture,
@@ -218,7 +218,7 @@
   directory.put("near", row(8, "here"), restarted);
   const auto seen = membership_of(directory, restarted, kSilence, kWindow, started);
   // 1 s since its last word, and the part in which spans are looked at; the far peer told nothing.
-  REQUIRE(seen.forgotten == Approx((0.3 + 0.9) / 3));
+  REQUIRE(seen.unknown_history == Approx((0.3 + 0.9) / 3));
 }
 
 TEST_CASE_METHOD(DirectoryFixture, "what a zone let through that was lost whole counts on",
@@ -231,7 +231,7 @@
   wire::TenantUsage usage;
   usage.window = 40;
   usage.__set_parts({40});
-  summary.__set_tenants({{kChoir, usage}});
+  summary.__set_tenants({{kTenantKey, usage}});
   directory.on_summary(summary, now);
   // The zone's new processes know nothing of those before.
   wire::ZoneSummary anew;
@@ -241,6 +241,6 @@
   anew.members = {member};
   const auto later = now + net::Millis(2000);
   directory.on_summary(anew, later);
-  const auto others = usage_of_others(directory, kChoir, later, kSilence, kWindow);
-  REQUIRE(others.heard + others.silent == Approx(40));
+  const auto others = peer_usage(directory, kTenantKey, later, kSilence, kWindow);
+  REQUIRE(others.reported + others.silent == Approx(40));
 }
--- a/tests/cluster/open_reservations_test.cpp
+++ b/tests/cluster/open_reservations_test.cpp
@@ -39,5 +39,5 @@
   for (int second = 0; second < kSeconds; ++second) {
     reservations.close(second, kStart + std::chrono::seconds(second));
   }
-  REQUIRE(reservations.ended() <= 61);
+  REQUIRE(reservations.ended_count() <= 61);
 }
--- a/tests/cluster/quota_fleet.cpp
+++ b/tests/cluster/quota_fleet.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 constexpr net::Millis kStep{5};
-constexpr net::Millis kRound{200};
+constexpr net::Millis kBeaconInterval{200};
 /// Nodes look at who is heard of this often.
-constexpr net::Millis kUpkeep{100};
+constexpr net::Millis kRefreshInterval{100};
 constexpr net::Millis kSummaryInterval{150};
 constexpr net::Millis kSilence{2000};
-constexpr net::Millis kLongestPause{600};
-constexpr net::Millis kMostPassedOnLate{150};
+constexpr net::Millis kMaxTickInterval{600};
+constexpr net::Millis kMaxForwardedAge{150};
 constexpr net::Millis kWindow{5000};
 constexpr double kMillisPerSecond = 1000;
 
@@ -41,8 +41,9 @@
   node.directory->set_incarnation(node.incarnation);
   node.quotas = std::make_unique<cluster::TenantQuotas>(*node.directory, quota::Bounds{},
                                                         node.started_at, random_.below(UINT64_MAX));
-  node.next_beacon = now_ + net::Millis(static_cast<std::int64_t>(random_.below(kRound.count())));
-  node.next_summary = now_ + kRound;
+  node.next_beacon =
+      now_ + net::Millis(static_cast<std::int64_t>(random_.below(kBeaconInterval.count())));
+  node.next_summary = now_ + kBeaconInterval;
   // Rows of the store tell every node of every other.
   node.directory->note_complete();
   const auto introduce = [&](Node& to, const Node& of) {
@@ -87,8 +88,8 @@
 void QuotaFleet::send_beacons(Node& node) {
   const auto beacon = std::make_shared<const wire::Beacon>(beacon_of(node));
   send_to_zone(node, beacon);
-  node.stalls.tick(now_, kLongestPause);
-  node.next_beacon = now_ + kRound;
+  node.stalls.tick(now_, kMaxTickInterval);
+  node.next_beacon = now_ + kBeaconInterval;
   node.urgent_from = now_ + cluster::BeaconSender::shortest_gap(nodes_.size());
 }
 
@@ -110,7 +111,7 @@
 }
 
 void QuotaFleet::send_summary(Node& node) {
-  node.stalls.tick(now_, kLongestPause);
+  node.stalls.tick(now_, kMaxTickInterval);
   const auto& peers = node.directory->peers();
   const auto members = 1 + std::count_if(peers.begin(), peers.end(), [&](const auto& entry) {
                          return entry.second.zone == node.zone;
@@ -119,7 +120,7 @@
   node.next_summary =
       now_ +
       net::Millis(static_cast<std::int64_t>(random_.below(static_cast<std::uint64_t>(longest))));
-  if (node.stalls.resumed_within(kRound, now_)) return;
+  if (node.stalls.resumed_within(kBeaconInterval, now_)) return;
   if (!node.directory->hears_zone(now_, kSilence)) return;
   auto beacon = beacon_of(node);
   beacon.__set_summary(node.directory->summarize_zone(beacon, now_, kSilence, kWindow));
@@ -141,20 +142,20 @@
     node.unread.push_back(message.beacon);
     return;
   }
-  take(node, *message.beacon);
+  process_beacon(node, *message.beacon);
 }
 
-void QuotaFleet::take(Node& node, const wire::Beacon& beacon) {
+void QuotaFleet::process_beacon(Node& node, const wire::Beacon& beacon) {
   const auto told_at = node.directory->on_beacon(beacon, now_).value_or(now_);
   if (!beacon.__isset.summary) return;
   node.directory->on_summary(beacon.summary, told_at);
-  if (now_ > told_at + kMostPassedOnLate) return;
+  if (now_ > told_at + kMaxForwardedAge) return;
   const auto* sender = node.directory->find(beacon.incarnation);
   const bool first_hand = sender != nullptr && sender->zone == beacon.summary.zone;
   if (!first_hand || sender->zone == node.zone) return;
-  auto& passed_on_at = node.passed_on_at[beacon.summary.zone];
-  if (now_ < passed_on_at + kSummaryInterval) return;
-  passed_on_at = now_;
+  auto& forwarded_at = node.forwarded_at[beacon.summary.zone];
+  if (now_ < forwarded_at + kSummaryInterval) return;
+  forwarded_at = now_;
   auto own = beacon_of(node);
   own.__set_summary(beacon.summary);
   send_to_zone(node, std::make_shared<const wire::Beacon>(std::move(own)));
@@ -173,10 +174,10 @@
       if (node.frozen) continue;
       if (now_ >= node.next_refresh) {
         node.quotas->refresh(now_, kSilence);
-        node.next_refresh = now_ + kUpkeep;
-        ask_again(node);
+        node.next_refresh = now_ + kRefreshInterval;
+        retry_waiting(node);
       }
-      const bool urgent = node.quotas->wants_to_tell() && now_ >= node.urgent_from;
+      const bool urgent = node.quotas->report_due() && now_ >= node.urgent_from;
       if (now_ >= node.next_beacon || (urgent && !summarizes())) send_beacons(node);
       if (now_ >= node.next_summary) send_summary(node);
     }
@@ -185,30 +186,31 @@
 
 bool QuotaFleet::request(const tenancy::Tenant& tenant, const cluster::QuotaRequest& request) {
   auto& node = nodes_[random_.below(reached_)];
-  if (!node.frozen) return ask(node, tenant, request);
+  if (!node.frozen) return decide(node, tenant, request);
   node.waiting.push_back({tenant, request, now_});
   return false;
 }
 
-bool QuotaFleet::ask(Node& node, const tenancy::Tenant& tenant,
-                     const cluster::QuotaRequest& request) {
+bool QuotaFleet::decide(Node& node, const tenancy::Tenant& tenant,
+                        const cluster::QuotaRequest& request) {
   const auto admission = node.quotas->admit(tenant, request, now_);
-  const bool passed = admission.admitted;
-  if (!passed && admission.inside && !request.asked_before && node.quotas->awaits_news(now_)) {
-    const auto not_before = now_ + node.quotas->time_to_ask_again(now_);
+  const bool admitted = admission.admitted;
+  if (!admitted && admission.within_limit && !request.is_retry &&
+      node.quotas->awaits_peer_reports(now_)) {
+    const auto not_before = now_ + node.quotas->peer_report_retry_delay(now_);
     node.waiting.push_back({tenant, request, not_before});
-    node.waiting.back().request.asked_before = true;
+    node.waiting.back().request.is_retry = true;
     return false;
   }
-  (passed ? passed_ : refused_).push_back(now_);
-  return passed;
+  (admitted ? admitted_ : refused_).push_back(now_);
+  return admitted;
 }
 
-void QuotaFleet::ask_again(Node& node) {
+void QuotaFleet::retry_waiting(Node& node) {
   const auto waiting = std::exchange(node.waiting, {});
   for (const auto& request : waiting) {
     if (now_ >= request.not_before) {
-      ask(node, request.tenant, request.request);
+      decide(node, request.tenant, request.request);
     } else {
       node.waiting.push_back(request);
     }
@@ -240,14 +242,14 @@
   for (auto& node : nodes_) node.frozen = draw() < share;
 }
 
-void QuotaFleet::wake() {
+void QuotaFleet::resume() {
   for (auto& node : nodes_) {
     if (!node.frozen) continue;
     node.frozen = false;
     for (const auto& waiting : std::exchange(node.waiting, {})) {
-      ask(node, waiting.tenant, waiting.request);
+      decide(node, waiting.tenant, waiting.request);
     }
-    for (const auto& beacon : node.unread) take(node, *beacon);
+    for (const auto& beacon : node.unread) process_beacon(node, *beacon);
     node.unread.clear();
   }
 }
@@ -262,7 +264,7 @@
   for (std::size_t index = 0; index < nodes; ++index) start(index);
 }
 
-void QuotaFleet::lose(double share, net::Millis away) {
+void QuotaFleet::crash(double share, net::Millis away) {
   std::vector<std::size_t> lost;
   for (std::size_t index = 0; index < nodes_.size(); ++index) {
     if (draw() < share) lost.push_back(index);
@@ -279,28 +281,28 @@
   }
 }
 
-void QuotaFleet::come(std::size_t place, std::size_t among) {
+void QuotaFleet::rejoin(std::size_t place, std::size_t among) {
   for (std::size_t index = place; index < nodes_.size(); index += among) start(index);
 }
 
-int QuotaFleet::most_in_window() const {
+int QuotaFleet::max_in_window() const {
   std::size_t most = 0;
   std::size_t first = 0;
-  for (std::size_t last = 0; last < passed_.size(); ++last) {
-    while (passed_[last] - passed_[first] >= kWindow) ++first;
+  for (std::size_t last = 0; last < admitted_.size(); ++last) {
+    while (admitted_[last] - admitted_[first] >= kWindow) ++first;
     most = std::max(most, last - first + 1);
   }
   return static_cast<int>(most);
 }
 
-int QuotaFleet::refused_inside(double limit) const {
-  int inside = 0;
+int QuotaFleet::refused_within_limit(double limit) const {
+  int count = 0;
   for (const auto time : refused_) {
-    const auto begin = std::lower_bound(passed_.begin(), passed_.end(), time - kWindow);
-    const auto end = std::upper_bound(passed_.begin(), passed_.end(), time);
-    inside += static_cast<double>(end - begin) + 1 <= limit ? 1 : 0;
+    const auto begin = std::lower_bound(admitted_.begin(), admitted_.end(), time - kWindow);
+    const auto end = std::upper_bound(admitted_.begin(), admitted_.end(), time);
+    count += static_cast<double>(end - begin) + 1 <= limit ? 1 : 0;
   }
-  return inside;
+  return count;
 }
 
 }  // namespace sailgate::test
--- a/tests/cluster/quota_fleet.hpp
+++ b/tests/cluster/quota_fleet.hpp
@@ -43,28 +43,28 @@
   /// This share of the nodes stands still: it sends and decides nothing until it wakes, and then
   /// decides on the requests that waited before it reads what the others told meanwhile.
   void freeze(double share);
-  void wake();
+  void resume();
   /// Callers keep to the first nodes of the fleet; 0: they go to all.
-  void keep_to(std::size_t nodes) { reached_ = nodes == 0 ? nodes_.size() : nodes; }
+  void limit_callers_to_first(std::size_t nodes) { reached_ = nodes == 0 ? nodes_.size() : nodes; }
   /// This share of the nodes loses all memory.
   void restart(double share);
   /// The first nodes lose all memory.
   void restart_first(std::size_t nodes);
   /// This share of the nodes is lost; they serve for so long without being asked, are lost again
   /// and start anew.
-  void lose(double share, net::Millis away);
+  void crash(double share, net::Millis away);
   /// Every node that has this place among so many says that it leaves, and serves on.
   void leave(std::size_t place, std::size_t among);
 
   /// The nodes of this place start again after they have left.
-  void come(std::size_t place, std::size_t among);
+  void rejoin(std::size_t place, std::size_t among);
 
   /// Most requests that were let through in any window, and those that were refused although the
   /// window before held fewer than the limit.
-  int most_in_window() const;
-  int refused_inside(double limit) const;
-  int passed() const { return static_cast<int>(passed_.size()); }
-  int sent() const { return static_cast<int>(passed_.size() + refused_.size()); }
+  int max_in_window() const;
+  int refused_within_limit(double limit) const;
+  int admitted() const { return static_cast<int>(admitted_.size()); }
+  int sent() const { return static_cast<int>(admitted_.size() + refused_.size()); }
   net::TimePoint now() const { return now_; }
 
  private:
@@ -89,7 +89,7 @@
     net::TimePoint next_beacon{};
     net::TimePoint next_summary{};
     net::TimePoint urgent_from{};
-    std::map<std::string, net::TimePoint> passed_on_at;
+    std::map<std::string, net::TimePoint> forwarded_at;
     std::size_t turn = 0;  ///< of processes that beacons pass on
   };
   struct Message {
@@ -113,9 +113,9 @@
   void send_to_zone(const Node& from, const std::shared_ptr<const wire::Beacon>& beacon);
   bool sends_to(const Node& from, const Node& to) const;
   /// Decides again on requests that wait for news.
-  void ask_again(Node& node);
-  void take(Node& node, const wire::Beacon& beacon);
-  bool ask(Node& node, const tenancy::Tenant& tenant, const cluster::QuotaRequest& request);
+  void retry_waiting(Node& node);
+  void process_beacon(Node& node, const wire::Beacon& beacon);
+  bool decide(Node& node, const tenancy::Tenant& tenant, const cluster::QuotaRequest& request);
   double draw() { return static_cast<double>(random_.below(1U << 20U)) / (1U << 20U); }
 
   FleetNetwork network_;
@@ -126,7 +126,7 @@
   std::priority_queue<Message, std::vector<Message>, std::greater<>> messages_;
   net::TimePoint now_ = net::TimePoint{} + std::chrono::hours(1);
   std::int64_t incarnations_ = 0;
-  std::vector<net::TimePoint> passed_;
+  std::vector<net::TimePoint> admitted_;
   std::vector<net::TimePoint> refused_;
 };
 
--- a/tests/cluster/quota_loss_table_test.cpp
+++ b/tests/cluster/quota_loss_table_test.cpp
@@ -24,13 +24,13 @@
   return tenant;
 }
 
-void play(const Fleet& fleet, double times, double share, net::Millis away) {
+void run_scenario(const Fleet& fleet, double times, double share, net::Millis away) {
   const double limit = 6 * fleet.rate;
-  const int most = static_cast<int>(limit * 1.1 + 20);
-  int most_seen = 0;
+  const int max_requests = static_cast<int>(limit * 1.1 + 20);
+  int observed_max = 0;
   int over = 0;
   int refused = 0;
-  int passed = 0;
+  int admitted = 0;
   int sent = 0;
   for (unsigned seed = 1; seed <= fleet.seeds; ++seed) {
     QuotaFleet nodes(fleet.nodes, fleet.zones, {}, seed);
@@ -39,18 +39,18 @@
     const auto tenant = tenant_of(fleet.rate);
     nodes.send(tenant, under_way, fleet.rate / 2, net::Millis(6000));
     nodes.send(tenant, under_way, times * fleet.rate, net::Millis(1500));
-    nodes.lose(share, away);
+    nodes.crash(share, away);
     nodes.send(tenant, under_way, times * fleet.rate, net::Millis(6000));
-    most_seen = std::max(most_seen, nodes.most_in_window());
-    over += nodes.most_in_window() > most ? 1 : 0;
-    refused += nodes.refused_inside(limit);
+    observed_max = std::max(observed_max, nodes.max_in_window());
+    over += nodes.max_in_window() > max_requests ? 1 : 0;
+    refused += nodes.refused_within_limit(limit);
     sent += nodes.sent();
-    passed += nodes.passed();
+    admitted += nodes.admitted();
   }
   std::cout << "| " << fleet.nodes << " | " << fleet.rate << " | " << times << " | " << share
-            << " | " << away.count() << " | " << most_seen << " of " << most << " | " << over
-            << " of " << fleet.seeds << " | " << refused << " | " << passed << " of " << sent
-            << " |" << std::endl;
+            << " | " << away.count() << " | " << observed_max << " of " << max_requests << " | "
+            << over << " of " << fleet.seeds << " | " << refused << " | " << admitted << " of "
+            << sent << " |" << std::endl;
 }
 
 }  // namespace
@@ -65,7 +65,7 @@
         for (const auto away : {net::Millis(0), net::Millis(500), net::Millis(1500)}) {
           if (share == 0.0 && away.count() > 0) continue;
           if (fleet.nodes > 4 && away.count() == 1500) continue;
-          play(fleet, times, share, away);
+          run_scenario(fleet, times, share, away);
         }
       }
     }
--- a/tests/cluster/quota_old_news_test.cpp
+++ b/tests/cluster/quota_old_news_test.cpp
@@ -24,12 +24,12 @@
 constexpr std::size_t kZones = 4;
 /// Limit of 42 requests in 5 s, at most 66 by the bounds that nodes begin with.
 constexpr double kRate = 7;
-constexpr int kMost = 66;
-constexpr double kQuietRate = 2;
+constexpr int kMaxRequests = 66;
+constexpr double kLowRate = 2;
 /// What callers send whose tenant's limit was lowered far below it.
 constexpr double kHighRate = 5 * kRate;
-constexpr net::Millis kCalm{6000};
-constexpr net::Millis kTrouble{9000};
+constexpr net::Millis kSteadyTime{6000};
+constexpr net::Millis kFaultTime{9000};
 
 tenancy::Tenant tenant() {
   tenancy::Tenant tenant;
@@ -48,32 +48,32 @@
 }  // namespace
 
 TEST_CASE("both sides of a cut keep the limit together from its first moment", "[cluster][quota]") {
-  const auto before = GENERATE(kQuietRate, kHighRate);
+  const auto before = GENERATE(kLowRate, kHighRate);
   const auto share = GENERATE(0.25, 0.35, 0.5);
   const auto seed = GENERATE(range(1U, 7U));
   INFO("seed " << seed << ", " << share << " cut off, " << before << " a second before");
   QuotaFleet fleet(kNodes, kZones, {}, seed);
-  fleet.send(tenant(), under_way(), before, kCalm);
+  fleet.send(tenant(), under_way(), before, kSteadyTime);
   fleet.split(share);
-  fleet.send(tenant(), under_way(), kHighRate, kTrouble);
+  fleet.send(tenant(), under_way(), kHighRate, kFaultTime);
   fleet.heal();
-  fleet.send(tenant(), under_way(), kHighRate, kCalm);
-  REQUIRE(fleet.most_in_window() <= kMost);
+  fleet.send(tenant(), under_way(), kHighRate, kSteadyTime);
+  REQUIRE(fleet.max_in_window() <= kMaxRequests);
 }
 
 TEST_CASE("nodes that wake do not decide by what they heard before they stood still",
           "[cluster][quota]") {
-  const auto still = net::Millis(GENERATE(1500, 2500, 4000));
+  const auto freeze_time = net::Millis(GENERATE(1500, 2500, 4000));
   const auto share = GENERATE(0.15, 0.35);
   const auto seed = GENERATE(range(1U, 7U));
-  INFO("seed " << seed << ", " << share << " still for " << still.count() << " ms");
+  INFO("seed " << seed << ", " << share << " still for " << freeze_time.count() << " ms");
   QuotaFleet fleet(kNodes, kZones, {}, seed);
-  fleet.send(tenant(), under_way(), kQuietRate, kCalm);
+  fleet.send(tenant(), under_way(), kLowRate, kSteadyTime);
   fleet.freeze(share);
-  fleet.send(tenant(), under_way(), kHighRate, still);
-  fleet.wake();
-  fleet.send(tenant(), under_way(), kHighRate, kTrouble);
-  REQUIRE(fleet.most_in_window() <= kMost);
+  fleet.send(tenant(), under_way(), kHighRate, freeze_time);
+  fleet.resume();
+  fleet.send(tenant(), under_way(), kHighRate, kFaultTime);
+  REQUIRE(fleet.max_in_window() <= kMaxRequests);
 }
 
 TEST_CASE("what nodes let through after they have left counts even when they had told nothing",
@@ -83,6 +83,6 @@
   INFO("seed " << seed << ", " << leaving << " of 10 leave");
   QuotaFleet fleet(kNodes, kZones, {}, seed);
   for (std::size_t place = 0; place < leaving; ++place) fleet.leave(place, 10);
-  fleet.send(tenant(), under_way(), kHighRate, kTrouble);
-  REQUIRE(fleet.most_in_window() <= kMost);
+  fleet.send(tenant(), under_way(), kHighRate, kFaultTime);
+  REQUIRE(fleet.max_in_window() <= kMaxRequests);
 }
--- a/tests/cluster/quota_restart_test.cpp
+++ b/tests/cluster/quota_restart_test.cpp
@@ -10,7 +10,7 @@
 constexpr int kNodes = 4;
 constexpr double kRate = 60;
 /// 60 a second over 5 s and a burst of 60, a tenth more and 20.
-constexpr int kMost = 416;
+constexpr int kMaxRequests = 416;
 constexpr double kLoweredShare = 0.6;
 
 tenancy::Tenant tenant(double share) {
@@ -33,7 +33,7 @@
   fleet.send(tenant(1), under_way, 156, net::Millis(2000));
   fleet.restart(1);
   fleet.send(tenant(1), under_way, 100, net::Millis(6000));
-  REQUIRE(fleet.most_in_window() <= kMost);
+  REQUIRE(fleet.max_in_window() <= kMaxRequests);
 }
 
 // Guards against the same where survivors know a part of the burst: up to 497 requests.
@@ -55,9 +55,9 @@
   QuotaFleet fleet(nodes, 1, {}, seed);
   fleet.send(tenant, under_way, rate / 2, net::Millis(6000));
   fleet.send(tenant, under_way, times * rate, net::Millis(1500));
-  fleet.lose(share, net::Millis(away));
+  fleet.crash(share, net::Millis(away));
   fleet.send(tenant, under_way, times * rate, net::Millis(6000));
-  REQUIRE(fleet.most_in_window() <= static_cast<int>(6 * rate * 1.1 + 20));
+  REQUIRE(fleet.max_in_window() <= static_cast<int>(6 * rate * 1.1 + 20));
 }
 
 TEST_CASE("a tenant below its limit is served again soon after a loss of all nodes",
@@ -66,11 +66,11 @@
   INFO("seed " << seed);
   QuotaFleet fleet(kNodes, 1, {}, seed);
   fleet.send(tenant(1), 0.6 * kRate, net::Millis(6000));
-  fleet.lose(1, net::Millis(0));
+  fleet.crash(1, net::Millis(0));
   fleet.send(tenant(1), 0.6 * kRate, net::Millis(2500));
-  const auto refused_at_first = fleet.refused_inside(6 * kRate);
+  const auto refused_before = fleet.refused_within_limit(6 * kRate);
   fleet.send(tenant(1), 0.6 * kRate, net::Millis(6000));
-  REQUIRE(fleet.refused_inside(6 * kRate) == refused_at_first);
+  REQUIRE(fleet.refused_within_limit(6 * kRate) == refused_before);
 }
 
 // Guards against new nodes that do not know what one lost node had let through for all callers.
@@ -83,11 +83,11 @@
   const auto seed = GENERATE(1U, 2U, 3U, 4U, 5U, 9U, 13U, 14U, 24U, 28U);
   INFO(nodes << " nodes, callers at " << served << ", " << times << " times it, seed " << seed);
   QuotaFleet fleet(nodes, 1, {}, seed);
-  fleet.keep_to(served);
+  fleet.limit_callers_to_first(served);
   fleet.send(tenant(1), under_way, times * kRate, net::Millis(6000));
   fleet.restart_first(served);
   fleet.send(tenant(1), under_way, times * kRate, net::Millis(6000));
-  REQUIRE(fleet.most_in_window() <= kMost);
+  REQUIRE(fleet.max_in_window() <= kMaxRequests);
 }
 
 // Guards against counting a lost node twice, by what it told and by its share of the limit.
@@ -102,9 +102,9 @@
   for (int round = 0; round < 5; ++round) {
     fleet.restart_first(nodes / 2);
     fleet.send(tenant(1), 0.6 * kRate, net::Millis(400));
-    const auto refused_at_first = fleet.refused_inside(limit);
+    const auto refused_before = fleet.refused_within_limit(limit);
     fleet.send(tenant(1), 0.6 * kRate, net::Millis(2600));
-    REQUIRE(fleet.refused_inside(limit) == refused_at_first);
+    REQUIRE(fleet.refused_within_limit(limit) == refused_before);
   }
 }
 
@@ -118,7 +118,7 @@
   QuotaFleet fleet(kNodes, 1, {}, seed);
   fleet.send(tenant(1), under_way, 0.5 * kRate, net::Millis(6000));
   fleet.send(tenant(1), under_way, 5 * kRate, net::Millis(1500));
-  fleet.lose(0.9, net::Millis(500));
+  fleet.crash(0.9, net::Millis(500));
   fleet.send(tenant(1), under_way, 5 * kRate, net::Millis(6000));
-  REQUIRE(fleet.most_in_window() <= kMost);
+  REQUIRE(fleet.max_in_window() <= kMaxRequests);
 }
--- a/tests/cluster/store_relay_test.cpp
+++ b/tests/cluster/store_relay_test.cpp
@@ -32,7 +32,7 @@
   }
   /// @return whether the store was taken for back within this time.
   bool back_within(net::Millis time) {
-    net::asio::co_spawn(context, relay.keep_probing(), net::asio::detached);
+    net::asio::co_spawn(context, relay.probe_loop(), net::asio::detached);
     const auto until = net::Clock::now() + time;
     test::run_until(context, [&] { return relay.answers() || net::Clock::now() > until; });
     return relay.answers();
--- a/tests/cluster/tenant_quotas_test.cpp
+++ b/tests/cluster/tenant_quotas_test.cpp
@@ -27,14 +27,14 @@
 }
 
 constexpr double kSmallLimit = 150;
-constexpr int kSmallMost = 185;
+constexpr int kSmallMax = 185;
 constexpr double kLargeLimit = 2526;
-constexpr int kLargeMost = 2798;
+constexpr int kLargeMax = 2798;
 /// What tenants send when nothing happens: limits are set at 1.6 times of it.
 constexpr double kUsualSmall = 25 / 1.6;
 constexpr double kUsualLarge = 421 / 1.6;
 
-constexpr net::Millis kCalm{10'000};
+constexpr net::Millis kSteadyTime{10'000};
 
 }  // namespace
 
@@ -43,8 +43,8 @@
   const auto nodes = GENERATE(1, 12, 84);
   INFO(nodes);
   QuotaFleet fleet(nodes, nodes < 4 ? 1 : 4, {}, 1);
-  fleet.send(small_tenant(), kUsualSmall, kCalm);
-  REQUIRE(fleet.refused_inside(kSmallLimit) == 0);
+  fleet.send(small_tenant(), kUsualSmall, kSteadyTime);
+  REQUIRE(fleet.refused_within_limit(kSmallLimit) == 0);
   REQUIRE(fleet.sent() > 100);
 }
 
@@ -56,13 +56,13 @@
   QuotaFleet small(nodes, 4, {}, seed);
   small.send(small_tenant(), kUsualSmall, net::Millis(5000));
   small.send(small_tenant(), 3 * kUsualSmall, net::Millis(6000));
-  REQUIRE(small.most_in_window() <= kSmallMost);
-  REQUIRE(small.most_in_window() >= kSmallLimit * 0.8);
+  REQUIRE(small.max_in_window() <= kSmallMax);
+  REQUIRE(small.max_in_window() >= kSmallLimit * 0.8);
   QuotaFleet large(nodes, 4, {}, seed);
   large.send(large_tenant(), kUsualLarge, net::Millis(5000));
   large.send(large_tenant(), 3 * kUsualLarge, net::Millis(6000));
-  REQUIRE(large.most_in_window() <= kLargeMost);
-  REQUIRE(large.most_in_window() >= kLargeLimit * 0.8);
+  REQUIRE(large.max_in_window() <= kLargeMax);
+  REQUIRE(large.max_in_window() >= kLargeLimit * 0.8);
 }
 
 TEST_CASE("nodes that are cut off from all others keep the limit with them", "[cluster][quota]") {
@@ -71,10 +71,10 @@
   QuotaFleet fleet(84, 4, {}, seed);
   fleet.send(small_tenant(), 3 * kUsualSmall, net::Millis(6000));
   fleet.cut(0.4);
-  fleet.send(small_tenant(), 3 * kUsualSmall, kCalm);
+  fleet.send(small_tenant(), 3 * kUsualSmall, kSteadyTime);
   fleet.heal();
-  fleet.send(small_tenant(), 3 * kUsualSmall, kCalm);
-  REQUIRE(fleet.most_in_window() <= kSmallMost);
+  fleet.send(small_tenant(), 3 * kUsualSmall, kSteadyTime);
+  REQUIRE(fleet.max_in_window() <= kSmallMax);
 }
 
 TEST_CASE("the limit holds while half of the nodes or all of them forget what they let through",
@@ -85,8 +85,8 @@
   QuotaFleet fleet(84, 4, {}, seed);
   fleet.send(large_tenant(), 3 * kUsualLarge, net::Millis(6000));
   fleet.restart(share);
-  fleet.send(large_tenant(), 3 * kUsualLarge, kCalm);
-  REQUIRE(fleet.most_in_window() <= kLargeMost);
+  fleet.send(large_tenant(), 3 * kUsualLarge, kSteadyTime);
+  REQUIRE(fleet.max_in_window() <= kLargeMax);
 }
 
 TEST_CASE("nodes that restart in turn refuse nothing inside the limit", "[cluster][quota]") {
@@ -95,7 +95,7 @@
     fleet.restart(1.0 / 84);
     fleet.send(small_tenant(), kUsualSmall, net::Millis(1000));
   }
-  REQUIRE(fleet.refused_inside(kSmallLimit) == 0);
+  REQUIRE(fleet.refused_within_limit(kSmallLimit) == 0);
 }
 
 TEST_CASE("the limit holds where many beacons are lost", "[cluster][quota]") {
@@ -103,8 +103,8 @@
   INFO(seed);
   QuotaFleet fleet(84, 4, FleetNetwork{net::Millis(40), 0.3}, seed);
   fleet.send(large_tenant(), kUsualLarge, net::Millis(5000));
-  fleet.send(large_tenant(), 2 * kUsualLarge, kCalm);
-  REQUIRE(fleet.most_in_window() <= kLargeMost);
+  fleet.send(large_tenant(), 2 * kUsualLarge, kSteadyTime);
+  REQUIRE(fleet.max_in_window() <= kLargeMax);
 }
 
 namespace {
@@ -117,7 +117,7 @@
   return tenant;
 }
 
-constexpr int kMediumMost = 416;
+constexpr int kMediumMax = 416;
 
 }  // namespace
 
@@ -130,8 +130,8 @@
   fleet.restart(1.1);
   // Callers that were cut off come back at once.
   fleet.send(medium_tenant(), 600, net::Millis(600));
-  fleet.send(medium_tenant(), 160, kCalm);
-  REQUIRE(fleet.most_in_window() <= kMediumMost);
+  fleet.send(medium_tenant(), 160, kSteadyTime);
+  REQUIRE(fleet.max_in_window() <= kMediumMax);
 }
 
 TEST_CASE("what leaving nodes let through counts on", "[cluster][quota]") {
@@ -142,8 +142,8 @@
   fleet.leave(0, 4);
   fleet.send(medium_tenant(), 160, net::Millis(4000));
   fleet.leave(1, 4);
-  fleet.send(medium_tenant(), 160, kCalm);
-  REQUIRE(fleet.most_in_window() <= kMediumMost);
+  fleet.send(medium_tenant(), 160, kSteadyTime);
+  REQUIRE(fleet.max_in_window() <= kMediumMax);
 }
 
 // A soak of four processes (seed 7041): their callers had waited for the store, which came back.
@@ -159,5 +159,5 @@
   fleet.send(medium_tenant(), under_way, 20, net::Millis(6000));
   fleet.send(medium_tenant(), under_way, 180, net::Millis(1000));
   fleet.send(medium_tenant(), under_way, 1200, net::Millis(1000));
-  REQUIRE(fleet.most_in_window() <= kMediumMost);
+  REQUIRE(fleet.max_in_window() <= kMediumMax);
 }
--- a/tests/cluster/turn_keeper_test.cpp
+++ b/tests/cluster/turn_coordinator_test.cpp
@@ -1,4 +1,4 @@
-#include "cluster/turn_keeper.hpp"
+#include "cluster/turn_coordinator.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -100,7 +100,7 @@
                  "[cluster][reservations]") {
   const auto program = program_at_home();
   links.set_mode(0, LinkMode::kOneWay);
-  REQUIRE(begin(program, kTurnTokens).keeper.empty());
+  REQUIRE(begin(program, kTurnTokens).reservation_node.empty());
   links.heal();
   REQUIRE(begins_at_last(program, kTurnTokens));
 }
@@ -109,7 +109,7 @@
                  "[cluster][reservations]") {
   const auto program = program_at_home();
   const auto start = begin(program, kTurnTokens);
-  REQUIRE(start.keeper == "home");
+  REQUIRE(start.reservation_node == "home");
   links.set_mode(0, LinkMode::kReset);
   end(program, start, 0);
   pass(kPeerTimeout);
@@ -121,7 +121,7 @@
                  "a budget is not called exhausted while a live holder of it cannot be asked",
                  "[cluster][reservations]") {
   const auto program = program_at_home();
-  REQUIRE(begin(program, kTurnTokens).keeper == "home");
+  REQUIRE(begin(program, kTurnTokens).reservation_node == "home");
   links.set_mode(0, LinkMode::kReset);
   REQUIRE(begin(program, kTurnTokens).reservation == ReserveOutcome::kUnavailable);
 }
--- a/tests/quota/usage_window_test.cpp
+++ b/tests/quota/usage_window_test.cpp
@@ -24,10 +24,10 @@
   for (int i = 0; i < 3; ++i) window.add(start);
   for (int i = 0; i < 4; ++i) window.add(start + net::Millis(2000));
   const auto parts = window.parts(start + net::Millis(2250), net::Millis(5000));
-  REQUIRE(quota::latest(parts, 1) == 4);
-  REQUIRE(quota::latest(parts, 4) == 4);
-  REQUIRE(quota::latest(parts, 5) == 7);
-  REQUIRE(quota::latest(parts, parts.size()) == 7);
+  REQUIRE(quota::sum_latest_buckets(parts, 1) == 4);
+  REQUIRE(quota::sum_latest_buckets(parts, 4) == 4);
+  REQUIRE(quota::sum_latest_buckets(parts, 5) == 7);
+  REQUIRE(quota::sum_latest_buckets(parts, parts.size()) == 7);
 }
 
 TEST_CASE("a count is never too low and at most a slice too wide", "[quota]") {
