--- a/src/cluster/fleet_usage.cpp
+++ b/src/cluster/fleet_usage.cpp
@@ -11,14 +11,14 @@
 namespace {
 
 constexpr double kMillisPerSecond = 1000;
-/// What a zone's summary sums up is older than the summary by up to a round of beacons in the zone.
+/// The reports in a zone summary are older than the summary by up to one beacon interval.
 constexpr net::Millis kSummaryInputAge{200};
 
 net::Millis between(net::TimePoint earlier, net::TimePoint later) {
   return std::max(std::chrono::duration_cast<net::Millis>(later - earlier), net::Millis(0));
 }
 
-/// Sums up what was told of one tenant.
+/// Accumulates the reports about one tenant.
 class UsageSum {
  public:
   UsageSum(std::int32_t tenant, net::TimePoint now, net::Millis silence, net::Millis window)
@@ -62,9 +62,9 @@
   PeerUsage sum_;
 };
 
-/// Nodes that a zone's sum stands for, each by how fresh news of it is. A node of the zone that is
-/// heard by other ways does not count: right after a cut has healed, sums that one side made told
-/// half of what had passed.
+/// Number of nodes covered by a zone summary, each weighted by the freshness of its report. Nodes
+/// of the zone that are known only from other sources are not counted: right after a network
+/// partition heals, a summary made on one side covered only half of the admitted requests.
 double fresh_summary_members(const ZoneSums& sum, net::TimePoint now, const NewsAge& news_age) {
   const auto age = between(sum.taken_at, now);
   double nodes = 0;
@@ -98,9 +98,9 @@
   const auto add_start = [&](const std::string& node, net::TimePoint start) {
     const auto served = between(start, now);
     if (served >= window) return;
-    // What the node's processes before told counts by itself.
+    // Reports of the node's earlier processes are counted separately.
     const auto untold = directory.departed().untold(node, now - window, start);
-    // Spans are looked at in steps of a part: in one of them as much again may have passed.
+    // Spans are evaluated in steps of one bucket, so up to one more bucket may be missing.
     const auto before = std::min(window, untold + quota::bucket_length(window));
     membership.restarted_share += 1;
     membership.unknown_history +=
@@ -118,7 +118,7 @@
     const bool summed = directory.zone_sums().count(peer.zone) > 0;
     if (!summed) membership.fresh += news_age.weight(between(peer.last_heard, now));
   }
-  // Whoever left a moment ago serves on and takes its part of limits.
+  // A node that left recently may still be serving and uses its share of the limits.
   for (const auto& [incarnation, departed] : directory.departed().all()) {
     if (departed.replaced || now >= departed.left_at + window) continue;
     ++membership.known;
--- a/src/cluster/open_reservations.cpp
+++ b/src/cluster/open_reservations.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Longer than a request waits in the sockets of a process that stands still while the end of its
-/// turn overtakes it.
+/// Longer than a request can wait in the sockets of a stalled process while the close message of
+/// its turn overtakes it.
 constexpr net::Millis kEndedRetention{std::chrono::seconds(60)};
 
 }  // namespace
--- a/src/cluster/open_reservations.hpp
+++ b/src/cluster/open_reservations.hpp
@@ -1,7 +1,7 @@
-/// @file Tokens that this node has reserved for turns that other nodes run.
+/// @file Token reservations held by this node for turns that run on other nodes.
 ///
-/// Messages get lost and overtake each other. Each reservation has a name, so that its end can be
-/// told repeatedly and settles it once, also when it comes before the reservation is made.
+/// Messages may be lost or reordered. Each reservation has an ID, so that closing it is idempotent
+/// and works even if the close message arrives before the reservation is made.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace sailgate::cluster {
 
-/// Unique over all nodes.
+/// Unique across all nodes.
 using ReservationId = std::int64_t;
 
 struct Reservation {
@@ -26,14 +26,14 @@
 /// Deterministic, no I/O, not thread-safe.
 class OpenReservations {
  public:
-  /// @return false: the reservation has ended already, nothing may stay reserved for it.
+  /// @return false if the reservation was already closed; its tokens must then be released.
   bool open(ReservationId id, Reservation reservation, net::TimePoint now);
-  /// The end of a reservation was told.
-  /// @return what is to be settled; nullopt: it was settled before, or is not made yet.
+  /// Closes a reservation.
+  /// @return the reservation to settle; nullopt if it was settled before or is not yet made.
   std::optional<Reservation> close(ReservationId id, net::TimePoint now);
 
   std::size_t count() const { return open_.size(); }
-  /// Ends that are remembered.
+  /// Number of closed reservations whose IDs are still kept.
   std::size_t ended_count() const { return ended_.size(); }
 
  private:
--- a/src/cluster/store_relay.cpp
+++ b/src/cluster/store_relay.cpp
@@ -12,27 +12,29 @@
 constexpr const char* kTransactPath = "/peer/store/transact";
 constexpr const char* kReadPath = "/peer/store/read";
 constexpr const char* kFollowPath = "/peer/store/follow";
-/// Time between two probes of a node, and at least this much for each node there is.
+/// Time between two probes of a node, and its minimum per node of the cluster, which bounds the
+/// load on the store.
 constexpr net::Millis kProbeInterval{200};
 constexpr net::Millis kProbeIntervalPerPeer{4};
 constexpr net::Millis kProbeTimeout{150};
-/// An answer that is not older than this needs no verification.
+/// No verification is needed if the last answer is at most this old.
 constexpr net::Millis kFreshAnswerAge{400};
-/// A probe that others overlap is waited for longer: a store that takes 240 ms to answer is slow,
-/// not away.
+/// Overlapping probes have a longer timeout: a store that takes 240 ms to answer is slow, not
+/// unreachable.
 constexpr net::Millis kOverlappingProbeTimeout{500};
-/// Probes read parts of this table in turn: single parts may be out of service.
+/// Probes read the partitions of this table in turn, since single ones may be out of service.
 constexpr const char* kProbeTable = "nodes";
 constexpr std::uint64_t kProbedPartCount = 251;
-/// While the store is full each node writes a row to this table so often: 84 calls a second of 84
-/// nodes, and callers come back after a second.
+/// While the store is full, each node writes a row to this table once per interval. That is 84
+/// calls a second for 84 nodes; callers retry after one second.
 constexpr const char* kSpaceTable = "space";
 constexpr net::Millis kSpaceProbeInterval{1000};
-/// Single answers get lost: so many direct calls in a row must fail before calls are relayed.
+/// Number of consecutive failures of direct calls before calls are relayed, since single answers
+/// may be lost.
 constexpr int kFailuresBeforeRelay = 3;
-/// A relayed call may take this much longer than a direct one.
+/// Extra time that a relayed call may take compared to a direct one.
 constexpr net::Millis kRelayOverhead{40};
-/// A relayed feed does not wait long: the peer may be lost meanwhile.
+/// Maximum wait of a relayed feed; kept short because the peer may fail in the meantime.
 constexpr net::Millis kMaxRelayedWait{300};
 
 using store::StoreResult;
@@ -68,7 +70,7 @@
   return row;
 }
 
-/// A status that this version does not know tells nothing.
+/// Maps a status that this version does not know to kUnknown.
 StoreStatus status_from_wire(std::int32_t status) {
   const bool known = status >= 0 && status <= static_cast<std::int32_t>(StoreStatus::kThrottled);
   return known ? static_cast<StoreStatus>(status) : StoreStatus::kUnknown;
@@ -269,7 +271,7 @@
     auto body = wire::encode(message);
     co_return co_await relayed(*peer, kFollowPath, std::move(body), timeout);
   }
-  // While direct calls fail, a direct feed must not hang for its whole wait.
+  // While direct calls fail, a direct feed must not block for its whole wait time.
   const auto direct_wait = direct_works_ ? wait : std::min(wait, kMaxRelayedWait);
   const auto direct_timeout = direct_works_ ? timeout : kMaxRelayedWait * 2;
   auto result = co_await direct_.follow(std::move(table), after, direct_wait, direct_timeout);
--- a/src/cluster/store_relay.hpp
+++ b/src/cluster/store_relay.hpp
@@ -1,7 +1,8 @@
-/// @file Reaching the table store through another node.
+/// @file Access to the table store through a peer.
 ///
-/// The store may refuse, throttle or drop single machines, and a cut may part one from it. While a
-/// node's own calls fail and some peer's do not, the node has that peer make them.
+/// The store may refuse, throttle or drop calls of single machines, or a network partition may
+/// separate a machine from it. While a node's own calls fail and those of some peer succeed, the
+/// node sends its calls through that peer.
 #pragma once
 
 #include <optional>
@@ -37,39 +38,39 @@
   net::asio::awaitable<store::StoreResult> follow(std::string table, std::int64_t after,
                                                   net::Millis wait, net::Millis timeout) override;
 
-  /// While this node's own calls fail, makes one now and then, to see whether that works again.
+  /// While this node's own calls fail, probes the store periodically to detect its recovery.
   net::asio::awaitable<void> probe_loop();
-  /// Whether some call to the store, direct or not, was answered lately.
+  /// Whether any recent call to the store, direct or relayed, was answered.
   bool answers() const { return reachability_.answers(net::Clock::now()); }
   const store::Reachability& reachability() const { return reachability_; }
-  /// Makes two calls beside the others, unless that is under way or one was just answered: with
-  /// few requests it would take seconds to find out that the store is lost.
+  /// Starts up to two extra probes, unless they are in progress or a call was just answered. With
+  /// few requests it would otherwise take seconds to detect an outage of the store.
   void verify();
-  /// How much longer no call is expected to be answered; 0 while some are.
+  /// Expected remaining duration of the outage; 0 while calls are answered.
   net::Millis expected_outage() const { return reachability_.expected_outage(net::Clock::now()); }
 
-  /// Whether the store refuses rows for want of space. While it does, a small row is written now
-  /// and then, so that no caller's turn has to find out that there is room again.
+  /// Whether the store refuses rows because it is out of space. While it does, a small row is
+  /// written periodically, so that recovery does not have to be detected by a caller's turn.
   bool full() const { return space_.full(); }
 
-  /// Calls of other nodes: made directly, whatever this node's own state.
+  /// Handles calls of other nodes. They are always made directly, whatever this node's own state.
   net::asio::awaitable<net::TextResponse> serve(net::TextRequest request);
-  /// Whether a path is one of serve()'s.
+  /// Whether serve() handles this path.
   static bool serves(std::string_view path);
 
-  /// Whether this node's own calls are answered, for its beacon.
+  /// Whether this node's direct calls are answered; sent in its beacon.
   bool direct_works() const { return direct_works_; }
   const store::StoreClock& clock() const { return clock_; }
-  /// Whether calls may go through a peer.
+  /// Whether calls may be relayed through a peer.
   void set_relaying(bool relaying) { relaying_ = relaying; }
-  /// Whether a probe may begin while the one before is still waited for.
+  /// Whether a probe may start while the previous one is still pending.
   void set_overlapping(bool overlapping) { overlapping_ = overlapping; }
   void set_silence_limit(net::Millis limit) { silence_limit_ = limit; }
 
  private:
-  /// A peer to go through now; nullopt: the call is made directly.
+  /// Peer to relay the next call through; nullopt if the call is made directly.
   std::optional<Peer> pick_relay_peer();
-  /// Notes how a direct call ended.
+  /// Records the result of a direct call.
   void record_direct_result(const store::StoreResult& result);
   void record_result(const store::StoreResult& result);
   net::asio::awaitable<void> probe_twice();
--- a/src/cluster/tenant_quotas.cpp
+++ b/src/cluster/tenant_quotas.cpp
@@ -8,16 +8,17 @@
 namespace {
 
 constexpr net::Millis kSecond{1000};
-/// A rate is not extrapolated from less than this: a few requests at a start are no rate.
+/// Minimum observation time for extrapolating a rate; a few requests right after the start do not
+/// give a meaningful one.
 constexpr net::Millis kMinObservation{100};
-/// Tenants that a beacon tells of: about 13 bytes each of a datagram of at most 8,192, and as many
-/// for the ages of their requests, which are left out where they do not fit. Those with the most
-/// requests come first, since they are the ones that can come near a limit.
+/// Maximum number of tenants in a beacon. Each takes about 13 bytes of a datagram of at most 8,192,
+/// and about as many again for the age buckets, which are omitted if they do not fit. The tenants
+/// with the most requests take precedence, since they are the ones that can come near a limit.
 constexpr std::size_t kMaxReportedTenants = 400;
-/// Share of a tenant's limit from which on nodes tell sooner what they let through.
+/// Share of a tenant's limit above which nodes report admitted requests early.
 constexpr double kNearLimitShare = 0.5;
-/// Share of the reserve above a limit that all nodes together may let through unreported, if all
-/// are received alike.
+/// Share of the allowance above a limit that all nodes together may admit without reporting,
+/// assuming that the load is spread evenly over the nodes.
 constexpr double kReportAtAllowance = 0.25;
 
 }  // namespace
@@ -32,7 +33,7 @@
                                          net::TimePoint now) const {
   const auto others = peer_usage(directory_, tenant_key(tenant), now, silence_, bounds_.window);
   quota::FleetUsage usage;
-  const auto own = admitted.parts(now, bounds_.window);
+  const auto own = admitted.buckets(now, bounds_.window);
   usage.own = quota::sum_latest_buckets(own, own.size());
   usage.others = others.reported;
   usage.silent = others.silent;
@@ -44,7 +45,7 @@
   usage.expired_by_age = others.expired_by_age;
   usage.restarted_share = membership_.restarted_share;
   usage.unknown_history = membership_.unknown_history;
-  // A node that does not know of the others cannot tell how small its share is.
+  // Without the full set of nodes, this node cannot determine its share.
   const auto known = static_cast<double>(membership_.known);
   usage.live_share = membership_.complete ? membership_.fresh / known : 0;
   return usage;
@@ -53,8 +54,8 @@
 quota::Admission TenantQuotas::admit(const tenancy::Tenant& tenant, const QuotaRequest& request,
                                      net::TimePoint now) {
   if (!tenant.limit.limited()) return quota::decide(tenant.limit, bounds_, {}, {}, 0);
-  // After a standstill requests may come before the upkeep does: who was heard of before says
-  // nothing.
+  // After a stall, requests may be handled before the periodic refresh runs, and the membership
+  // from before the stall is outdated.
   if (stalls_.stalled(now, kMaxRefreshInterval)) refresh(now, silence_);
   auto& own = own_.try_emplace(tenant.name, bounds_.window).first->second;
   if (!request.is_retry) own.received.add(now);
@@ -95,11 +96,11 @@
 
 std::int32_t TenantQuotas::received_per_second(quota::UsageWindow& received,
                                                net::TimePoint now) const {
-  // A process that began less than a second ago has observed a part of a second only.
+  // A process that started less than a second ago has observed only part of a second.
   const auto uptime = std::chrono::duration_cast<net::Millis>(now - started_at_);
   const auto observed = std::clamp(uptime, kMinObservation, kSecond);
-  // A rate that rises shows in half the time; steady ones are told up to half too high, since
-  // single requests of many nodes fall into either span.
+  // The half-second count detects a rising rate in half the time. Steady rates are reported up to
+  // 50% too high, because single requests at many nodes may fall into either half.
   const std::int64_t recent_rate = std::int64_t{2} * received.within(now, kSecond / 2);
   const std::int64_t rate_over_second = received.within(now, kSecond) * kSecond / observed;
   return static_cast<std::int32_t>(std::max(rate_over_second, recent_rate));
@@ -115,7 +116,7 @@
     usage.window = own.admitted.within(now, bounds_.window);
     usage.leaving_soon = own.admitted.count_expiring(now, bounds_.window, kExpiringSoon);
     usage.asked_per_s = received_per_second(own.received, now);
-    write_age_buckets(own.admitted.parts(now, bounds_.window), usage);
+    write_age_buckets(own.admitted.buckets(now, bounds_.window), usage);
     if (usage.window > 0 || usage.asked_per_s > 0) usages[tenant_key(entry->first)] = usage;
     const bool unused = own.admitted.empty() && own.received.empty();
     entry = unused ? own_.erase(entry) : std::next(entry);
--- a/src/cluster/tenant_quotas.hpp
+++ b/src/cluster/tenant_quotas.hpp
@@ -1,8 +1,8 @@
-/// @file Holds tenants to their limits over all nodes.
+/// @file Distributed rate limiter: enforces tenants' limits over all nodes.
 ///
-/// Each node counts the requests that it lets through and tells the others in its beacons; each
-/// decides by itself from what it was told (quota/admission.hpp). No request waits for another
-/// node, and a node that hears of nobody still has its share.
+/// Each node counts the requests that it admits and reports the counts in its beacons. Each node
+/// decides locally from the reports it received (quota/admission.hpp). No request waits for another
+/// node, and an isolated node can still admit its share of the limit.
 #pragma once
 
 #include <string>
@@ -19,14 +19,14 @@
 
 namespace sailgate::cluster {
 
-/// A request that asks to be let through.
+/// A request to be checked against its tenant's limit.
 struct QuotaRequest {
-  tenancy::StateKey program;  ///< empty: not part of a program
-  bool continues = false;     ///< it goes on from an earlier request of its program
-  bool is_retry = false;      ///< it was told to wait for news
+  tenancy::StateKey program;  ///< empty if the request belongs to no program
+  bool continues = false;     ///< continues an earlier request of its program
+  bool is_retry = false;      ///< repeated after waiting for peer reports
 };
 
-/// Not thread-safe: belongs to the event loop.
+/// Not thread-safe; used from the event loop only.
 class TenantQuotas {
  public:
   TenantQuotas(const PeerDirectory& directory, quota::Bounds bounds, net::TimePoint started_at,
@@ -37,38 +37,38 @@
         random_(seed),
         stalls_(started_at) {}
 
-  /// Takes over which nodes are heard of; called every 0.1 s or so.
-  /// @param silence longest time between a peer's beacons.
+  /// Updates the membership from the peer directory; called about every 0.1 s.
+  /// @param silence time without a beacon after which a peer counts as silent.
   void refresh(net::TimePoint now, net::Millis silence);
-  /// Decides on a request; one that is let through is counted.
+  /// Decides on a request and counts it if admitted.
   quota::Admission admit(const tenancy::Tenant& tenant, const QuotaRequest& request,
                          net::TimePoint now);
-  /// This node has just begun, or stood still: the others' news is on its way, and a request that
-  /// is refused now may pass when it has come.
+  /// Whether this node has just started or resumed after a stall. Peer reports are then still in
+  /// flight, and a request refused now may be admitted once they have arrived.
   bool awaits_peer_reports(net::TimePoint now) const {
     return stalls_.resumed_within(kPeerReportTime, now);
   }
-  /// Until then news has come in. Requests that piled up meanwhile are spread over as long again,
-  /// since no node sees the others' yet.
+  /// Delay after which peer reports have arrived. A random part of up to the same length spreads
+  /// queued requests, because the nodes do not see each other's admissions yet.
   net::Millis peer_report_retry_delay(net::TimePoint now);
-  /// A request that was let through at `then` never ran: only those that run count. Programs that
-  /// loop send several turns a second that their budget refuses; counted, they took the whole limit
-  /// of a small tenant.
+  /// Removes a request admitted at `then` that never ran, since only requests that run count.
+  /// Programs in a loop send several turns a second that their token budget refuses; when these
+  /// were counted, they used up the whole limit of a small tenant.
   void refund(const tenancy::Tenant& tenant, net::TimePoint then);
-  /// What this node let through lately, for its beacons.
+  /// Report of the requests recently admitted by this node, for its beacons.
   TenantUsages told(net::TimePoint now);
-  /// So much of a limit was let through since told() that the others should not wait for the next
-  /// round to hear it.
+  /// Whether so much of a limit was admitted since told() that the next report should be sent
+  /// before the regular beacon.
   bool report_due() const { return report_due_; }
   const Membership& membership() const { return membership_; }
 
  private:
-  /// Requests of a tenant at this node.
+  /// A tenant's requests at this node.
   struct LocalUsage {
     explicit LocalUsage(net::Millis window) : admitted(window), received(window) {}
     quota::UsageWindow admitted;
-    quota::UsageWindow received;  ///< let through or not
-    int unreported = 0;           ///< let through since told()
+    quota::UsageWindow received;  ///< admitted or refused
+    int unreported = 0;           ///< admitted since told()
   };
 
   void record_admitted(LocalUsage& own, const tenancy::Tenant& tenant,
@@ -77,11 +77,11 @@
   quota::FleetUsage usage_of(const std::string& tenant, quota::UsageWindow& admitted,
                              net::TimePoint now) const;
 
-  /// A refresh that is this late means that the process stood still.
+  /// A longer gap between refreshes means that the process was stalled.
   static constexpr net::Millis kMaxRefreshInterval{300};
-  /// Time in which beacons of the own zone and summaries of the others come in.
+  /// Time within which beacons of the own zone and summaries of the other zones arrive.
   static constexpr net::Millis kPeerReportTime{400};
-  /// Programs remembered as under way: at 100 a second over 84 nodes some hours of them.
+  /// Programs remembered as in progress: at 100 per second over 84 nodes, this covers some hours.
   static constexpr std::size_t kMaxPrograms = 10'000;
 
   const PeerDirectory& directory_;
--- a/src/cluster/tenant_usage.hpp
+++ b/src/cluster/tenant_usage.hpp
@@ -1,4 +1,4 @@
-/// @file What nodes tell each other of the requests that they let through, by tenant.
+/// @file Per-tenant reports of admitted requests that nodes exchange.
 #pragma once
 
 #include <cstdint>
@@ -11,33 +11,34 @@
 
 namespace sailgate::cluster {
 
-/// By tenant_key().
+/// Keyed by tenant_key().
 using TenantUsages = std::map<std::int32_t, wire::TenantUsage>;
 
-/// Short key of a tenant, for beacons: two tenants share one about once in four thousand millions,
-/// and then only seem to send more than they do.
+/// 32-bit hash of a tenant's name, to keep beacons small. Two tenants collide with a probability of
+/// about 1 in 4 billion; their requests are then counted together, which overstates both.
 std::int32_t tenant_key(const std::string& tenant);
 
-/// Time for which nodes tell what will leave the window: about the age that news reaches.
+/// Reports say how many requests will leave the window within this time; it is about the maximum
+/// age of a report.
 inline constexpr net::Millis kExpiringSoon{500};
 
-/// Writes requests by age into `usage`.
+/// Writes the age buckets into `usage`.
 void write_age_buckets(const quota::BucketCounts& parts, wire::TenantUsage& usage);
-/// As write_age_buckets() wrote it; all zero when it was not told.
+/// Reads the age buckets written by write_age_buckets(); all zero if the report has none.
 quota::BucketCounts read_age_buckets(const wire::TenantUsage& usage);
 
-/// What of a node's requests may still lie within the window, so long after it told of them. Where
-/// it told no ages, all may have come just before.
+/// The requests of a report that may still be in the window when the report is `age` old. Without
+/// age buckets all of them are assumed to have come just before the report.
 wire::TenantUsage age_usage(const wire::TenantUsage& usage, net::Millis age, net::Millis window);
 
-/// When and how what is added to a sum was told.
+/// Properties of reports that are added to a sum.
 struct UsageReportInfo {
   net::Millis age{0};
-  net::Millis window{0};    ///< over which limits count
-  bool still_asked = true;  ///< the nodes are asked for more
+  net::Millis window{0};    ///< sliding window of the rate limits
+  bool still_asked = true;  ///< whether the reporting nodes still receive requests
 };
 
-/// Adds what nodes let through to `sum`, as far as it still lies within the window.
+/// Adds the reported requests that are still in the window to `sum`.
 void merge_usages(const TenantUsages& usages, const UsageReportInfo& news, TenantUsages& sum);
 
 }  // namespace sailgate::cluster
--- a/src/cluster/turn_coordinator.cpp
+++ b/src/cluster/turn_coordinator.cpp
@@ -11,21 +11,22 @@
 
 constexpr const char* kBeginPath = "/peer/turns/begin";
 constexpr const char* kReleasePath = "/peer/budgets/release";
-/// Ends without a name and named ones have paths of their own, so that a home that knows no names
-/// does not settle one end repeatedly.
+/// Turn ends without and with a reservation ID use different paths, so that a home that does not
+/// know reservation IDs does not settle a repeated message more than once.
 constexpr const char* kEndPath = "/peer/turns/end";
 constexpr const char* kClosePath = "/peer/turns/close";
-/// The home's own time at the store: some tries of it, within these bounds.
+/// Time that the home may spend on store calls: this many attempts, within the bounds below.
 constexpr int kHomeStoreAttempts = 3;
 constexpr net::Millis kMinHomeStoreTime{180};
 constexpr net::Millis kMaxHomeStoreTime{800};
-/// A home that answers so much later than its time at the store is passed over.
+/// Time allowed for the home's answer beyond its time for store calls.
 constexpr net::Millis kHomeMargin{70};
 constexpr net::Millis kEndTimeout{400};
-/// Pauses before an end that was not heard is told again.
+/// Bounds of the exponential backoff between attempts to deliver the end of a turn.
 constexpr net::Millis kInitialEndBackoff{50};
 constexpr net::Millis kMaxEndBackoff{2000};
-/// Callers come back to a program for about so long: later its tokens are of no use.
+/// Time after which delivery is given up. Callers return to a program for about this long; later
+/// its tokens are of no use.
 constexpr net::Millis kEndRetryTimeout{std::chrono::seconds(60)};
 constexpr net::Millis kReleaseTimeout{150};
 
@@ -36,13 +37,13 @@
   return std::chrono::duration_cast<net::Millis>(deadline - net::Clock::now());
 }
 
-/// Status by which a holder answers a call for its tokens.
+/// HTTP status of a holder's answer to a request for its unused tokens.
 net::http::status status_of(const ledger::GiveBackResult& result) {
   if (result.given) return net::http::status::ok;
   return result.complete ? net::http::status::no_content : net::http::status::service_unavailable;
 }
 
-/// @return nullopt: there was no answer, or none that can be read.
+/// @return nullopt if there was no answer or it cannot be decoded.
 std::optional<wire::BeginTurnReply> decode_reply(const net::ExchangeResult& exchange) {
   if (!succeeded(exchange)) return std::nullopt;
   try {
@@ -52,7 +53,7 @@
   }
 }
 
-/// The end of a turn that generated nothing.
+/// End message for a turn that used no tokens.
 wire::EndTurn unused_turn_end(const wire::BeginTurn& begun) {
   wire::EndTurn end;
   end.program = begun.program;
@@ -88,7 +89,8 @@
 net::asio::awaitable<void> TurnCoordinator::reserve(const TurnRequest& request,
                                                     net::TimePoint deadline, TurnStart& start) {
   if (!store_.answers()) {
-    // Waiting would make the program late; most turns use far less than their most.
+    // Waiting for the store would delay the program, and most turns use far less than their
+    // maximum.
     start.reserved =
         ledger_.budgets.reserve_rest(request.program.text(), request.tokens, request.budget);
     if (start.reserved > 0) co_return;
@@ -109,9 +111,9 @@
                                                request.budget, deadline);
   }
   if (outcome != ReserveOutcome::kExhausted) co_return outcome;
-  // Tokens of a holder that live and was not reached may be unused.
+  // A live holder that did not answer may have unused tokens.
   if (!reclaimed.all_answered) co_return ReserveOutcome::kUnavailable;
-  // The owner of the program's shard may hold an escrow that this node does not know of.
+  // The owner of the program's shard may hold escrowed tokens that this node does not know of.
   if (!has_full_budget_view(request.program.text())) co_return ReserveOutcome::kUnavailable;
   ledger_.budgets.note_exhausted(request.program.text(), request.tokens);
   co_return outcome;
@@ -236,7 +238,7 @@
     return;
   }
   const auto* peer = directory_.find(start.reservation_node_incarnation);
-  if (peer == nullptr) return;  // what was reserved there counts as used
+  if (peer == nullptr) return;  // the tokens reserved there count as used
   wire::EndTurn message;
   message.program = end.program.text();
   message.line = end.line;
@@ -257,7 +259,8 @@
     auto call = peer_request(kClosePath, wire::encode(message));
     const auto exchange = co_await http->exchange(std::move(call), kEndTimeout);
     if (exchange.failure == net::ExchangeFailure::kNone) co_return exchange.response.result();
-    // Only the first try brings the turn for the home's cache: tries may wait in large numbers.
+    // Only the first attempt carries the turn for the home's cache, since many retries may be
+    // pending at the same time.
     message.chain = {};
     co_await net::sleep_for(context_, backoff);
     backoff = std::min(backoff * 2, kMaxEndBackoff);
--- a/src/cluster/turn_coordinator.hpp
+++ b/src/cluster/turn_coordinator.hpp
@@ -1,10 +1,11 @@
-/// @file Budgets and histories of programs, through the program's home.
+/// @file Token reservations and turn histories of programs, coordinated through each program's home
+/// node.
 ///
-/// The home of a program is the owner of its shard (ledger/escrow_shard.hpp), or, while there is
-/// none, one node of the zone, by rendezvous over the live ones. It holds the program's tokens and
-/// its last turns in memory, so that most turns need no call to the store at their start. The home
-/// is a hint: when it does not answer, this node does the same by itself from
-/// the store, where only the rows decide.
+/// The home of a program is the owner of its shard (ledger/escrow_shard.hpp) or, if there is none,
+/// a live node of the zone chosen by rendezvous hashing. It keeps the program's tokens and last
+/// turns in memory, so that most turns can start without a call to the store. The home is only an
+/// optimization: if it does not answer, this node does the same work from the store, whose rows are
+/// authoritative.
 #pragma once
 
 #include <memory>
@@ -26,11 +27,11 @@
 
 namespace sailgate::cluster {
 
-/// What a turn needs before it starts.
+/// Input for starting a turn.
 struct TurnRequest {
   tenancy::StateKey program;
   std::string line;            ///< line of turns within the program
-  tenancy::StateKey previous;  ///< empty: the turn goes on from none
+  tenancy::StateKey previous;  ///< empty if the turn continues no other
   std::int64_t tokens = 0;     ///< to reserve; 0: none
   std::int64_t budget = 0;
 };
@@ -39,24 +40,24 @@
   ledger::LookupOutcome lookup = ledger::LookupOutcome::kFound;
   ledger::TurnPointer previous;
   ledger::ReserveOutcome reservation = ledger::ReserveOutcome::kReserved;
-  std::int64_t reserved = 0;     ///< tokens; fewer than asked for while the store is away
-  std::string engine;            ///< ran the line's last turn; empty: not known
-  std::string reservation_node;  ///< node that keeps the reservation; empty: this one
+  std::int64_t reserved = 0;     ///< tokens; fewer than requested while the store is unreachable
+  std::string engine;            ///< engine that ran the line's last turn; empty if unknown
+  std::string reservation_node;  ///< node that holds the reservation; empty for this one
   std::int64_t reservation_node_incarnation = 0;
-  ReservationId reservation_id = 0;  ///< at the reservation_node
+  ReservationId reservation_id = 0;  ///< at the reservation node
 };
 
-/// What is known of a turn when it has ended.
+/// Result of a finished turn.
 struct TurnEnd {
   tenancy::StateKey program;
   std::string line;
   std::int64_t reserved = 0;  ///< tokens
   std::int64_t used = 0;      ///< tokens
-  ledger::TurnPointer turn;   ///< the finished turn, for the home's cache; nullptr: none
-  std::string engine;         ///< ran the turn whole; empty: none
+  ledger::TurnPointer turn;   ///< the finished turn, for the home's cache; nullptr if none
+  std::string engine;         ///< engine that ran the whole turn; empty if none did
 };
 
-/// Not thread-safe: belongs to the event loop.
+/// Not thread-safe; used from the event loop only.
 class TurnCoordinator {
  public:
   TurnCoordinator(net::asio::io_context& context, ledger::ProgramLedger& ledger,
@@ -76,44 +77,44 @@
   net::asio::awaitable<TurnStart> begin(TurnRequest request, net::TimePoint deadline);
   void end(const TurnEnd& end, const TurnStart& start);
 
-  /// Calls of other nodes. @throws std::exception when a message cannot be read.
+  /// Handles calls of other nodes. @throws std::exception if a message cannot be decoded.
   net::asio::awaitable<net::TextResponse> serve(net::TextRequest request);
   /// Reservations held here for turns that other nodes run.
   std::size_t open_reservations() const { return reservations_.count(); }
 
  private:
-  /// What the other holders of a program's tokens said.
+  /// Answers of the other holders of a program's tokens.
   struct ReclaimResult {
-    bool released = false;     ///< some gave tokens back
-    bool all_answered = true;  ///< of those that live
+    bool released = false;     ///< at least one returned tokens
+    bool all_answered = true;  ///< all live holders answered
   };
 
-  /// Node that keeps the program's tokens; nullopt: this one.
+  /// Home node of the program; nullopt if it is this one.
   std::optional<Peer> home_of(const std::string& program) const;
   net::asio::awaitable<TurnStart> begin_locally(TurnRequest request, net::TimePoint deadline);
-  /// Reserves tokens for a turn and notes in `start` how that ended.
+  /// Reserves tokens for a turn and stores the outcome in `start`.
   net::asio::awaitable<void> reserve(const TurnRequest& request, net::TimePoint deadline,
                                      TurnStart& start);
-  /// Reserves all tokens, those included that other holders do not use.
+  /// Reserves the full amount, reclaiming unused tokens from other holders if needed.
   net::asio::awaitable<ledger::ReserveOutcome> reserve_full(const TurnRequest& request,
                                                             net::TimePoint deadline);
-  /// Whether this node can say that the program's budget is exhausted.
+  /// Whether this node can decide that the program's budget is exhausted.
   bool has_full_budget_view(const std::string& program) const;
-  /// Asks the other holders of a program's tokens for what they do not use.
+  /// Asks the other holders of a program's tokens to return unused ones.
   net::asio::awaitable<ReclaimResult> reclaim_unused_tokens(std::string program);
   net::asio::awaitable<bool> begin_remotely(Peer home, const TurnRequest& request,
                                             net::TimePoint deadline, TurnStart& start);
   net::asio::awaitable<void> end_remotely(Peer home, wire::EndTurn message);
-  /// Tells a home the end of a named reservation until it has heard it, at most for a minute.
-  /// @return its answer; nullopt: it was not heard.
+  /// Closes a reservation at its home, retrying until the home answers, for at most one minute.
+  /// @return the status of the answer; nullopt if there was none.
   net::asio::awaitable<std::optional<net::http::status>> close_remotely(Peer home,
                                                                         wire::EndTurn message);
   void log_undelivered_end(const Peer& home, const wire::EndTurn& message);
   net::asio::awaitable<void> serve_begin(const net::TextRequest& request,
                                          net::TextResponse& response);
-  /// The end of a reservation without a name, which is told once.
+  /// Handles the end of a turn without a reservation ID; such a message is sent only once.
   void serve_end(const net::TextRequest& request);
-  /// The end of a named reservation, which may be told repeatedly.
+  /// Handles the close of a reservation with an ID; such a message may be repeated.
   void serve_close(const net::TextRequest& request);
   void record_end(const wire::EndTurn& message);
 
@@ -125,9 +126,9 @@
   const StoreRelay& store_;
   const base::Mechanisms& mechanisms_;
   observe::StructuredLog& log_;
-  /// Programs whose engines are remembered: about 200 bytes each.
+  /// Maximum number of programs whose engines are remembered, at about 200 bytes each.
   static constexpr std::size_t kMaxPlacements = 20'000;
-  balancing::LinePlacements placements_{kMaxPlacements};  ///< of programs whose home this node is
+  balancing::LinePlacements placements_{kMaxPlacements};  ///< for programs whose home is this node
   base::Random random_;
   OpenReservations reservations_;
 };
--- a/src/quota/admission.cpp
+++ b/src/quota/admission.cpp
@@ -7,23 +7,24 @@
 namespace {
 
 constexpr double kMillisPerSecond = 1000;
-/// Share of what the limit may be exceeded by that the target lies above the limit. The rest stands
-/// for callers whose rate rises faster than nodes can tell.
+/// Share of the permitted overshoot that is added to the limit for programs in progress. The rest
+/// is headroom for request rates that rise faster than the nodes' reports.
 constexpr double kInProgressExcessShare = 0.5;
-/// A control loop with a delay does not overshoot up to a gain of 1 / e. Nodes tell rates up to
-/// half too high, which makes 0.4 of this.
+/// A control loop with a delay does not overshoot up to a gain of 1 / e. Nodes report rates up to
+/// 50% too high, which reduces this value to an effective gain of 0.4.
 constexpr double kControlGain = 0.6;
-/// Bounds on the time to come back: a refused caller does not come back into the same news, nor
-/// later than the whole window has passed.
+/// Lower bound on the retry delay, so that a refused caller is not judged by the same reports
+/// again. The upper bound is one window.
 constexpr net::Millis kMinRetryAfter{200};
 
-/// Share of the excess that programs under way may use right after a loss of all nodes. Together
-/// with what they used of it before, and with what news is late by, it stays within the excess.
+/// Share of the permitted overshoot that programs in progress may use right after a loss of all
+/// nodes. Together with what they used before the loss and with the effect of delayed reports, the
+/// total stays within the permitted overshoot.
 constexpr double kInProgressExcessShareAfterLoss = 0.25;
 
 double seconds_of(net::Millis time) { return static_cast<double>(time.count()) / kMillisPerSecond; }
 
-/// Requests that the limit allows in a span of this length.
+/// Requests that the limit allows in a span of the given length.
 double allowed_requests(const Limit& limit, net::Millis span) {
   return limit.rate_per_s * seconds_of(span) + limit.burst;
 }
@@ -32,29 +33,29 @@
   return allowed_requests(limit, bounds.window) * bounds.excess_share + bounds.excess_requests;
 }
 
-/// A span that ends now, and what all nodes together let through in it.
+/// A time span ending now, with the requests admitted in it by all nodes.
 struct Span {
   net::Millis length{0};
-  double limit = 0;       ///< requests that the tenant's limit allows
-  double target = 0;      ///< most requests
-  double reported = 0;    ///< by nodes that are heard of
-  double silent = 0;      ///< by nodes that are not
-  double expired = 0;     ///< of `told`, what has left the span since it was told
-  double per_second = 0;  ///< at which room comes
+  double limit = 0;       ///< requests allowed by the tenant's limit
+  double target = 0;      ///< maximum number of requests to admit
+  double reported = 0;    ///< by nodes with current reports
+  double silent = 0;      ///< by nodes that stopped reporting
+  double expired = 0;     ///< part of `reported` that has left the span since the report
+  double per_second = 0;  ///< rate at which capacity becomes free
 
   double allowed(const FleetUsage& usage) const {
-    // Of the two bounds the tighter one decides: the whole fleet's, and the share of this node's
-    // side.
+    // The tighter of two bounds applies: the one of the whole cluster, and the share of this node's
+    // side of a partition.
     return std::max(0.0, std::min(target - silent, target * usage.live_share));
   }
-  /// Requests that may be let through until the next news.
+  /// Requests that may be admitted before the next reports arrive.
   double room(const FleetUsage& usage) const {
     return kControlGain * (allowed(usage) - reported) + expired;
   }
 };
 
-/// What nodes that have just started may have let through before: their share of the most that was
-/// allowed in the part of the window before their start.
+/// What nodes that have just started may have admitted before the restart: their share of the
+/// maximum allowed in the part of the window before their start.
 double unknown_history_requests(const Limit& limit, const Bounds& bounds, const FleetUsage& usage) {
   const double burst_share =
       limit.burst +
@@ -73,24 +74,24 @@
   span.reported = usage.own + usage.others;
   span.silent = usage.silent;
   span.expired = usage.expired;
-  // The window's requests leave it, if they are spread evenly; and restarted nodes need to allow
-  // for less and less from before.
+  // Assumes that the requests are spread evenly over the window. In addition, the amount that
+  // restarted nodes must assume for the time before their start shrinks.
   const double counted = std::max(1.0, span.reported + span.silent);
   span.per_second = counted / seconds_of(bounds.window) + usage.restarted_share * limit.rate_per_s;
   return span;
 }
 
-/// The sum_latest_buckets `parts` parts of the window.
+/// The latest `buckets` buckets of the window.
 Span recent_span(const Limit& limit, const Bounds& bounds, const FleetUsage& usage,
-                 ProgramStage stage, std::size_t parts) {
+                 ProgramStage stage, std::size_t buckets) {
   Span span;
-  span.length = bucket_length(bounds.window) * static_cast<std::int64_t>(parts);
+  span.length = bucket_length(bounds.window) * static_cast<std::int64_t>(buckets);
   span.limit = allowed_requests(limit, span.length);
   span.target = span.limit;
   if (stage == ProgramStage::kInProgress) span.target += allowance_above_limit(limit, bounds);
-  span.reported = sum_latest_buckets(usage.reported_by_age, parts);
-  span.silent = sum_latest_buckets(usage.silent_by_age, parts);
-  span.expired = usage.expired_by_age[parts - 1];
+  span.reported = sum_latest_buckets(usage.reported_by_age, buckets);
+  span.silent = sum_latest_buckets(usage.silent_by_age, buckets);
+  span.expired = usage.expired_by_age[buckets - 1];
   span.per_second = limit.rate_per_s;
   return span;
 }
@@ -101,13 +102,14 @@
   return std::clamp(time, kMinRetryAfter, std::max(bounds.window, kMinRetryAfter));
 }
 
-/// Share of the requests that may be let through, when there is this room and so many others
-/// compete for it without being seen.
+/// Share of the requests to admit, given the free capacity and the number of unreported requests
+/// that may compete for it.
 ///
-/// All nodes fill the room that they saw a news' age ago, so that the whole fleet is a control loop
-/// with that delay. What has left the span since is replaced at once, so that a tenant near its
-/// limit gets all of it. Only the rest of the room is filled with a gain: at 1 over the delay the
-/// loop overshoots by half of what is asked in it, on each side of a cut for itself.
+/// All nodes fill the capacity that was free when the reports were sent, so the cluster is a
+/// control loop whose delay is the age of the reports. Requests that have left the span since then
+/// are replaced in full, so that a tenant near its limit gets all of it. Only the remaining
+/// capacity is filled with a gain: at a gain of 1 over the delay the loop would overshoot by half
+/// of the requests received during the delay, separately on each side of a partition.
 double admitted_share(double room, const FleetUsage& usage) {
   if (room <= 0) return 0;
   return std::min(1.0, room / (usage.unreported + kControlGain));
@@ -126,8 +128,8 @@
   if (!limit.limited()) return admission;
   auto tightest = whole_window(limit, bounds, usage, stage);
   admission.within_limit = tightest.reported + tightest.silent + 1 <= tightest.limit;
-  for (std::size_t parts = 1; parts < kWindowBuckets; ++parts) {
-    const auto span = recent_span(limit, bounds, usage, stage, parts);
+  for (std::size_t buckets = 1; buckets < kWindowBuckets; ++buckets) {
+    const auto span = recent_span(limit, bounds, usage, stage, buckets);
     admission.within_limit =
         admission.within_limit && span.reported + span.silent + 1 <= span.limit;
     if (span.room(usage) < tightest.room(usage)) tightest = span;
--- a/src/quota/admission.hpp
+++ b/src/quota/admission.hpp
@@ -1,7 +1,8 @@
-/// @file Whether a tenant's request may go on to an engine, by what this node knows of all nodes.
+/// @file Admission decision of the distributed rate limiter for one request of a tenant.
 ///
-/// Answers the load of a tenant that sends more than its limit, through any number of nodes of
-/// which each sees a few requests a second. A decision without I/O or clock; chance is an input.
+/// The limit is global, and each node may see only a few of the tenant's requests per second. The
+/// decision is a pure function of this node's view of the cluster: no I/O, no clock, and the random
+/// draw is an input.
 #pragma once
 
 #include "quota/limit.hpp"
@@ -9,60 +10,64 @@
 
 namespace sailgate::quota {
 
-/// What one node knows of a tenant's requests, its own and those of the other nodes.
+/// One node's view of a tenant's admitted requests in the whole cluster.
 struct FleetUsage {
-  double own = 0;         ///< requests that this node let through within the window
-  double others = 0;      ///< by nodes that are heard of, as they told last
-  double silent = 0;      ///< by nodes that fell silent, as far as they still lie within the window
-  double unreported = 0;  ///< most that the others let through since: all that is asked of them
-  double expired = 0;     ///< of `others`, what has left the window since
+  double own = 0;         ///< requests that this node admitted within the window
+  double others = 0;      ///< as last reported by nodes with current reports
+  double silent = 0;      ///< by nodes that stopped reporting; only what is still in the window
+  double unreported = 0;  ///< upper bound on what the others admitted since: all they receive
+  double expired = 0;     ///< part of `others` that has left the window since the report
   BucketCounts reported_by_age{};  ///< `own` and `others`
   BucketCounts silent_by_age{};    ///< `silent`
-  BucketCounts expired_by_age{};   ///< of each part of `others`, what has grown older since
-  double restarted_share = 0;      ///< share of nodes that started within the window
-  double unknown_history = 0;  ///< share of nodes that started within the window, each by the part
-                               ///< of the window before its start of which nobody told
-  double live_share = 1;  ///< share of the known nodes that are heard of, this one among them; 0:
-                          ///< the nodes are not known yet
+  BucketCounts expired_by_age{};   ///< per bucket of `others`, what has aged out of it since
+  double restarted_share = 0;      ///< share of the nodes that started within the window
+  /// Same share, each node weighted by the part of the window before its start that no report
+  /// covers.
+  double unknown_history = 0;
+  /// Share of the known nodes with current reports, including this one; 0 while the set of nodes is
+  /// not yet known.
+  double live_share = 1;
 };
 
-/// Requests above the limit that programs under way may use: nodes need not agree to the last one.
+/// Requests above the limit that programs in progress may use. The overshoot is allowed because the
+/// nodes' counts are not exactly consistent.
 double allowance_above_limit(const Limit& limit, const Bounds& bounds);
 
-/// What a request is to its program.
+/// Position of a request within its program.
 enum class ProgramStage {
-  kNew,         ///< it may be the program's first: nothing is lost yet when it is refused
-  kInProgress,  ///< the program has cost work, which is lost when it is refused
+  kNew,         ///< possibly the program's first request: refusing it wastes no work
+  kInProgress,  ///< refusing it wastes the work already spent on the program
 };
 
-/// The decision with what it was made from, for the log.
+/// The decision and the figures behind it, for the log.
 struct Admission {
   bool admitted = false;
-  double used = 0;             ///< requests that count against the tightest bound
-  double counted = 0;          ///< of these, those that nodes told of
-  bool within_limit = false;   ///< with this request the counted ones are within the limit
-  double allowed = 0;          ///< the tightest bound on them for this request
-  net::Millis span{0};         ///< that the tightest bound is for
-  net::Millis retry_after{0};  ///< when there may be room; 0 when admitted
+  double used = 0;             ///< requests counted against the tightest bound
+  double counted = 0;          ///< of these, the reported ones
+  bool within_limit = false;   ///< whether the counted requests plus this one are within the limit
+  double allowed = 0;          ///< value of the tightest bound
+  net::Millis span{0};         ///< time span of the tightest bound
+  net::Millis retry_after{0};  ///< time until capacity may be available; 0 if admitted
 };
 
-/// The target lies between the limit and what may be exceeded at most: all requests within_limit
-/// the limit are let through, and what is left absorbs what the news of other nodes is late by.
+/// The target lies between the limit and the permitted maximum: all requests within the limit are
+/// admitted, and the remaining headroom absorbs the delay of the other nodes' reports.
 ///
-/// - Nodes that are cut off from each other share the target by their number, so that any groups of
-///   them together stay below it.
-/// - In any span shorter than the window the burst and the rate of that span are let through, so
-///   that a restarted fleet knows how much may still lie in the window.
-/// - Nodes that have just started have forgotten what they let through before. They take it for
-///   their share of the most that the span before their start allows: after a loss of all nodes a
-///   tenant begins with its rate, and has its burst again when the window has passed.
-/// - Programs that have not begun are let through up to the limit itself, those under way up to the
-///   target: a program that is refused midway has cost its work, and its caller gets nothing.
-/// - Where more is asked than there is room for until the next news, each node lets the share that
-///   fits through, by chance: together they take the room and no more. With all or nothing, callers
-///   that come back at once after a loss of all nodes keep each other out.
+/// - During a network partition each side gets a share of the target in proportion to its number of
+///   nodes, so that all sides together stay below the target.
+/// - Every span shorter than the window is limited as well, to the burst plus the rate over that
+///   span. This bounds what a restarted cluster may already have admitted in the current window.
+/// - A node that has just started has lost its counts. It assumes its share of the maximum that the
+///   span before its start allowed: after a loss of all nodes a tenant starts at its rate and
+///   regains its burst once a window has passed.
+/// - New programs are admitted up to the limit, programs in progress up to the target: refusing a
+///   program midway wastes the work already done, and its caller gets no result.
+/// - If demand exceeds the capacity left until the next reports, each node admits the fitting share
+///   of requests at random, so that together the nodes use that capacity and no more. With an
+///   all-or-nothing decision, callers that all retry at once after a loss of all nodes would keep
+///   each other out.
 ///
-/// @param draw uniform in [0, 1).
+/// @param draw uniformly distributed in [0, 1).
 Admission decide(const Limit& limit, const Bounds& bounds, const FleetUsage& usage,
                  ProgramStage stage, double draw);
 
--- a/src/quota/recent_programs.hpp
+++ b/src/quota/recent_programs.hpp
@@ -1,4 +1,4 @@
-/// @file Programs whose requests were let through lately.
+/// @file Programs with recently admitted requests.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 
 namespace sailgate::quota {
 
-/// Remembers at least the last `min_size` programs and at min_size twice as many. Not thread-safe.
+/// Keeps at least the last `min_size` programs and at most twice as many. Not thread-safe.
 class RecentPrograms {
  public:
   explicit RecentPrograms(std::size_t min_size) : min_size_(min_size) {}
--- a/src/quota/usage_window.cpp
+++ b/src/quota/usage_window.cpp
@@ -30,16 +30,16 @@
   return count;
 }
 
-BucketCounts UsageWindow::parts(net::TimePoint now, net::Millis window) {
+BucketCounts UsageWindow::buckets(net::TimePoint now, net::Millis window) {
   const auto length = bucket_length(window);
-  BucketCounts parts{};
+  BucketCounts buckets{};
   int counted = 0;
-  for (std::size_t part = 0; part < parts.size(); ++part) {
-    const int within_span = within(now, length * static_cast<std::int64_t>(part + 1));
-    parts[part] = within_span - counted;
+  for (std::size_t bucket = 0; bucket < buckets.size(); ++bucket) {
+    const int within_span = within(now, length * static_cast<std::int64_t>(bucket + 1));
+    buckets[bucket] = within_span - counted;
     counted = within_span;
   }
-  return parts;
+  return buckets;
 }
 
 }  // namespace sailgate::quota
--- a/src/quota/usage_window.hpp
+++ b/src/quota/usage_window.hpp
@@ -1,4 +1,4 @@
-/// @file Requests counted over a sliding span of time.
+/// @file Sliding-window request counter.
 #pragma once
 
 #include <cstdint>
@@ -9,32 +9,32 @@
 
 namespace sailgate::quota {
 
-/// Counts in slices of time; a slice that lies partly within a span counts whole, so that a count
-/// is never too low. Not thread-safe.
+/// Counts in fixed time slices. A slice that overlaps a span only partly is counted in full, so a
+/// count is never too low. Not thread-safe.
 class UsageWindow {
  public:
-  /// @param longest span that is asked for; older requests are forgotten.
+  /// @param longest longest span that will be queried; older requests are dropped.
   explicit UsageWindow(net::Millis longest) : longest_(longest) {}
 
   void add(net::TimePoint now);
-  /// Takes back a request that was added at `then`.
+  /// Removes a request that was added at `then`.
   void refund(net::TimePoint then);
-  /// Requests within `span` before `now`.
+  /// Number of requests within `span` before `now`.
   int within(net::TimePoint now, net::Millis span);
-  /// Requests within `window` before `now`, by their age.
-  BucketCounts parts(net::TimePoint now, net::Millis window);
-  /// Of the requests within `span` before `now`, those that leave it within `soon` from now on.
+  /// Requests within `window` before `now`, in buckets by age.
+  BucketCounts buckets(net::TimePoint now, net::Millis window);
+  /// Of the requests within `span` before `now`, the number that will leave it within `soon`.
   int count_expiring(net::TimePoint now, net::Millis span, net::Millis soon) {
     return within(now, span) - within(now, span - soon);
   }
   bool empty() const { return slices_.empty(); }
 
  private:
-  /// With 50 slices in a window of 5 s a count is at most 2 in 100 of a steady tenant's too high.
+  /// With 50 slices in a window of 5 s, the count of a steady load is at most 2% too high.
   static constexpr net::Millis kSlice{100};
 
   struct Slice {
-    std::int64_t number = 0;  ///< start, in slices since the clock's epoch
+    std::int64_t number = 0;  ///< start time in slices since the clock's epoch
     int count = 0;
   };
 
--- a/src/quota/window_parts.hpp
+++ b/src/quota/window_parts.hpp
@@ -1,4 +1,4 @@
-/// @file Requests of a window by their age.
+/// @file Histogram of a window's requests by age.
 #pragma once
 
 #include <algorithm>
@@ -13,17 +13,17 @@
 
 constexpr std::size_t kWindowBuckets = 10;
 
-/// Requests of each tenth of a window, the sum_latest_buckets first.
+/// Requests in each tenth of a window, latest first.
 using BucketCounts = std::array<double, kWindowBuckets>;
 
-/// Length of a part.
+/// Duration of one bucket.
 inline net::Millis bucket_length(net::Millis window) {
   return std::max(window / static_cast<std::int64_t>(kWindowBuckets), net::Millis(1));
 }
 
-/// Requests of the sum_latest_buckets `parts` parts.
-inline double sum_latest_buckets(const BucketCounts& counts, std::size_t parts) {
-  return std::accumulate(counts.begin(), counts.begin() + parts, 0.0);
+/// Requests in the latest `buckets` buckets.
+inline double sum_latest_buckets(const BucketCounts& counts, std::size_t buckets) {
+  return std::accumulate(counts.begin(), counts.begin() + buckets, 0.0);
 }
 
 }  // namespace sailgate::quota
--- a/tests/cluster/fleet_usage_test.cpp
+++ b/tests/cluster/fleet_usage_test.cpp
@@ -24,7 +24,7 @@
 }  // namespace
 
 TEST_CASE_METHOD(DirectoryFixture,
-                 "what nodes let through is summed, with what came since they told",
+                 "peer reports are summed, with an estimate for requests since the reports",
                  "[cluster][quota]") {
   directory.on_beacon(beacon_with_usage(1, 30, 10), now);
   directory.on_beacon(beacon_with_usage(2, 50, 20), now);
@@ -37,7 +37,7 @@
 }
 
 TEST_CASE_METHOD(DirectoryFixture,
-                 "what a node told that is not heard counts while it may lie in the window",
+                 "reports of a silent node count while their requests may be in the window",
                  "[cluster][quota]") {
   directory.on_beacon(beacon_with_usage(1, 30, 10), now);
   const auto at = [&](net::Millis time) {
@@ -46,12 +46,12 @@
   REQUIRE(at(kSilence).reported == Approx(0));
   REQUIRE(at(kSilence).unreported == Approx(0));
   REQUIRE(at(kSilence).silent == Approx(30));
-  // All of it may have come just before it was told.
+  // All requests may have come just before the report.
   REQUIRE(at(kWindow - net::Millis(1)).silent == Approx(30));
   REQUIRE(at(kWindow).silent == Approx(0));
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "what a lost node told by age leaves the window part by part",
+TEST_CASE_METHOD(DirectoryFixture, "requests reported by age leave the window bucket by bucket",
                  "[cluster][quota]") {
   auto message = beacon_with_usage(1, 30, 10);
   message.tenants[kTenantKey].__set_parts({5, 0, 0, 0, 0, 0, 0, 0, 10, 15});
@@ -61,7 +61,7 @@
   };
   REQUIRE(at(0).reported == Approx(30));
   REQUIRE(at(0).reported_by_age[0] == Approx(5));
-  // A fifth of what was in the oldest part has left it, and the window.
+  // A fifth of the requests in the oldest bucket has left the bucket and thus the window.
   REQUIRE(at(100).expired == Approx(3));
   REQUIRE(at(100).expired_by_age[8] == Approx(2));
   REQUIRE(at(1000).silent == Approx(5));
@@ -70,7 +70,8 @@
   REQUIRE(at(5000).silent == Approx(0));
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "news counts less and less before its sender is taken for lost",
+TEST_CASE_METHOD(DirectoryFixture,
+                 "the weight of a report decreases before its sender is considered lost",
                  "[cluster][quota]") {
   directory.on_beacon(beacon_with_usage(1, 30, 10), now);
   double before = 30;
@@ -86,25 +87,25 @@
   REQUIRE(seen.fresh == Approx(1.5));
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "a beacon that waited to be read is as old as its sender says",
+TEST_CASE_METHOD(DirectoryFixture, "the age of a delayed beacon follows from its send time",
                  "[cluster][quota]") {
   auto message = beacon_with_usage(1, 30, 10);
   message.__set_sent_ms(1000);
   REQUIRE(directory.on_beacon(message, now) == now);
-  // Sent 0.2 s after the first and read 3 s after it, when this node wakes.
+  // Sent 0.2 s after the first one, but read only 3 s after it, when this node resumes.
   message.__set_sent_ms(1200);
   const auto woke = now + net::Millis(3000);
   REQUIRE(directory.on_beacon(message, woke) == now + net::Millis(200));
   REQUIRE(peer_usage(directory, kTenantKey, woke, kSilence, kWindow).reported == Approx(0));
   REQUIRE(peer_usage(directory, kTenantKey, woke, kSilence, kWindow).silent == Approx(30));
-  // A beacon that is overtaken does not take the place of a newer one.
+  // A reordered beacon does not replace a newer one.
   message = beacon_with_usage(1, 5, 1);
   message.__set_sent_ms(1100);
   directory.on_beacon(message, woke);
   REQUIRE(peer_usage(directory, kTenantKey, woke, kSilence, kWindow).silent == Approx(30));
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "a summary that waited does not take the place of a newer one",
+TEST_CASE_METHOD(DirectoryFixture, "a delayed summary does not replace a newer one",
                  "[cluster][quota]") {
   wire::ZoneSummary summary;
   summary.zone = "there";
@@ -118,7 +119,8 @@
   REQUIRE(peer_usage(directory, kTenantKey, now, kSilence, kWindow).reported == Approx(40));
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "a process that left counts on, also when it had told nothing",
+TEST_CASE_METHOD(DirectoryFixture,
+                 "a process that has left is still counted, even without earlier reports",
                  "[cluster][quota]") {
   directory.remove("near");
   directory.on_beacon(beacon_with_usage(1, 30, 10), now);
@@ -127,21 +129,21 @@
   REQUIRE(directory.departed().serving(now + kSilence, kSilence).empty());
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "a zone's summary tells what its nodes let through",
+TEST_CASE_METHOD(DirectoryFixture, "a zone summary reports the requests admitted by its nodes",
                  "[cluster][quota]") {
   PeerDirectory there("far", "there");
   there.put("far-2", row(3, "there"), now);
   there.on_beacon(beacon_with_usage(3, 40, 5), now);
   const auto summary = there.summarize_zone(beacon_with_usage(2, 10, 1), now, kSilence, kWindow);
   directory.put("far-2", row(3, "there"), now);
-  // Told by the node itself before; the sum of its zone takes its place.
+  // The summary of the zone replaces the node's own earlier report.
   directory.on_beacon(beacon_with_usage(2, 10, 1), now);
   directory.on_summary(summary, now);
   const auto others = peer_usage(directory, kTenantKey, now, kSilence, kWindow);
   REQUIRE(others.reported == Approx(50));
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "nodes that have just started are known to have forgotten",
+TEST_CASE_METHOD(DirectoryFixture, "nodes that have just started count as having unknown history",
                  "[cluster][quota]") {
   const auto started = now - net::Millis(60'000);
   auto young = beacon(1);
@@ -151,10 +153,11 @@
   const auto seen = membership_of(directory, now, kSilence, kWindow, started);
   REQUIRE(seen.known == 3);
   REQUIRE(seen.heard == 3);
-  // Four fifths of the window lie before its start, and the part in which spans are looked at.
+  // Four fifths of the window lie before its start; one more bucket is added for the granularity of
+  // the spans.
   REQUIRE(seen.restarted_share == Approx(1.0 / 3));
   REQUIRE(seen.unknown_history == Approx(0.9 / 3));
-  // All of them, this one too.
+  // All nodes have restarted, including this one.
   auto other = beacon(2);
   other.__set_uptime_ms(0);
   directory.on_beacon(other, now);
@@ -165,11 +168,12 @@
   REQUIRE(membership_of(directory, later, kSilence, kWindow, started).heard == 1);
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "a node that began later learns what a lost process let through",
+TEST_CASE_METHOD(DirectoryFixture,
+                 "a node that started later learns which requests a lost process admitted",
                  "[cluster][quota]") {
   auto message = beacon_with_usage(1, 30, 10);
   message.tenants[kTenantKey].__set_parts({30});
-  // The other nodes have heard it as well.
+  // The other nodes have received it as well.
   const auto told_at = now + net::Millis(1000);
   directory.on_beacon(message, told_at);
   const auto lost_at = told_at + net::Millis(1000);
@@ -190,14 +194,15 @@
     return peer_usage(learner, kTenantKey, at, kSilence, kWindow);
   };
   REQUIRE(learned(lost_at).silent == Approx(30));
-  // As old as the process's last word, not as the news.
+  // Aged from the process's last own report, not from the message that passed it on.
   REQUIRE(learned(told_at + kWindow).silent == Approx(0));
-  // It is heard after all, and counts once.
+  // A beacon of the process arrives after all; its requests are counted only once.
   learner.on_beacon(message, lost_at);
   REQUIRE(learned(lost_at).reported + learned(lost_at).silent == Approx(30));
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "nobody learns of itself from others", "[cluster][quota]") {
+TEST_CASE_METHOD(DirectoryFixture, "a node ignores reports of others about itself",
+                 "[cluster][quota]") {
   directory.set_incarnation(5);
   auto news = beacon(1);
   wire::SilentProcess process;
@@ -210,18 +215,19 @@
 }
 
 TEST_CASE_METHOD(DirectoryFixture,
-                 "a node whose last process told of itself has forgotten only what came since",
+                 "a restarted node has unknown history only since its last process's report",
                  "[cluster][quota]") {
   const auto started = now - net::Millis(60'000);
   directory.on_beacon(beacon(1), now);
   const auto restarted = now + net::Millis(1000);
   directory.put("near", row(8, "here"), restarted);
   const auto seen = membership_of(directory, restarted, kSilence, kWindow, started);
-  // 1 s since its last word, and the part in which spans are looked at; the far peer told nothing.
+  // 1 s since its last report plus one bucket for the granularity; the far peer reported nothing.
   REQUIRE(seen.unknown_history == Approx((0.3 + 0.9) / 3));
 }
 
-TEST_CASE_METHOD(DirectoryFixture, "what a zone let through that was lost whole counts on",
+TEST_CASE_METHOD(DirectoryFixture,
+                 "requests admitted by a zone that was lost completely are still counted",
                  "[cluster][quota]") {
   wire::ZoneSummary summary;
   summary.zone = "there";
@@ -233,7 +239,7 @@
   usage.__set_parts({40});
   summary.__set_tenants({{kTenantKey, usage}});
   directory.on_summary(summary, now);
-  // The zone's new processes know nothing of those before.
+  // The zone's new processes do not know the earlier ones.
   wire::ZoneSummary anew;
   anew.zone = "there";
   member.incarnation = 3;
--- a/tests/cluster/open_reservations_test.cpp
+++ b/tests/cluster/open_reservations_test.cpp
@@ -13,8 +13,7 @@
 
 }  // namespace
 
-TEST_CASE("the first end of a reservation settles it and a repeated one does not",
-          "[cluster][reservations]") {
+TEST_CASE("closing a reservation settles it once", "[cluster][reservations]") {
   OpenReservations reservations;
   REQUIRE(reservations.open(kId, kReservation, kStart));
   REQUIRE(reservations.count() == 1);
@@ -26,14 +25,16 @@
   REQUIRE(reservations.count() == 0);
 }
 
-TEST_CASE("nothing stays reserved for a turn whose end came first", "[cluster][reservations]") {
+TEST_CASE("nothing stays reserved if the close arrives before the reservation",
+          "[cluster][reservations]") {
   OpenReservations reservations;
   REQUIRE_FALSE(reservations.close(kId, kStart));
   REQUIRE_FALSE(reservations.open(kId, kReservation, kStart + net::Millis(800)));
   REQUIRE(reservations.count() == 0);
 }
 
-TEST_CASE("ends of reservations are not remembered for ever", "[cluster][reservations]") {
+TEST_CASE("closed reservation IDs are removed after their retention period",
+          "[cluster][reservations]") {
   OpenReservations reservations;
   constexpr int kSeconds = 1000;
   for (int second = 0; second < kSeconds; ++second) {
--- a/tests/cluster/quota_fleet.cpp
+++ b/tests/cluster/quota_fleet.cpp
@@ -10,7 +10,7 @@
 
 constexpr net::Millis kStep{5};
 constexpr net::Millis kBeaconInterval{200};
-/// Nodes look at who is heard of this often.
+/// Interval at which nodes refresh their membership.
 constexpr net::Millis kRefreshInterval{100};
 constexpr net::Millis kSummaryInterval{150};
 constexpr net::Millis kSilence{2000};
@@ -29,7 +29,7 @@
     nodes_[index].zone = zones_[index % zones_.size()];
   }
   for (std::size_t index = 0; index < nodes_.size(); ++index) start(index);
-  // A fleet that has served for a while.
+  // Starts with a cluster that has been running for longer than a window.
   advance(2 * kWindow);
 }
 
@@ -44,7 +44,7 @@
   node.next_beacon =
       now_ + net::Millis(static_cast<std::int64_t>(random_.below(kBeaconInterval.count())));
   node.next_summary = now_ + kBeaconInterval;
-  // Rows of the store tell every node of every other.
+  // Every node knows every other one from the rows of the store.
   node.directory->note_complete();
   const auto introduce = [&](Node& to, const Node& of) {
     wire::PeerRow row;
--- a/tests/cluster/quota_fleet.hpp
+++ b/tests/cluster/quota_fleet.hpp
@@ -1,4 +1,4 @@
-/// @file A fleet of nodes in virtual time that hold tenants to their limits.
+/// @file Simulation of a cluster of nodes that enforce tenants' limits, in virtual time.
 #pragma once
 
 #include <cstdint>
@@ -14,54 +14,57 @@
 
 namespace sailgate::test {
 
-/// What the network between the nodes is like.
+/// Properties of the simulated network between the nodes.
 struct FleetNetwork {
   net::Millis delay{2};
   double loss = 0.01;  ///< share of the beacons that are lost
 };
 
-/// Nodes send beacons to their own zone and summaries to the others, at the times at which
-/// cluster::BeaconSender does; everything else is the code that nodes run.
+/// The simulated nodes send beacons to their own zone and summaries to the other zones, with the
+/// timing of cluster::BeaconSender; everything else is production code.
 class QuotaFleet {
  public:
   QuotaFleet(int nodes, int zones, FleetNetwork network, std::uint64_t seed);
 
-  /// A tenant's request at a node drawn by chance, at the fleet's time. @return whether it is let
-  /// through.
+  /// Sends a tenant's request to a random node at the current virtual time.
+  /// @return whether it is admitted.
   bool request(const tenancy::Tenant& tenant, const cluster::QuotaRequest& request);
-  /// Requests at `rate_per_s` for this time, each the first of a program.
+  /// Sends requests at `rate_per_s` for this time, each the first of a program.
   void send(const tenancy::Tenant& tenant, double rate_per_s, net::Millis time) {
     send(tenant, {}, rate_per_s, time);
   }
   void send(const tenancy::Tenant& tenant, const cluster::QuotaRequest& request, double rate_per_s,
             net::Millis time);
-  /// Cuts this share of the nodes off from all others, or heals the cut. Callers still reach them.
+  /// Isolates this share of the nodes from all others; 0 heals the partition. Callers still reach
+  /// them.
   void cut(double share);
-  /// Cuts this share of the nodes off from the rest; on each side nodes hear of each other.
+  /// Partitions the cluster in two: this share of the nodes and the rest.
   void split(double share);
   void heal() { cut(0); }
-  /// This share of the nodes stands still: it sends and decides nothing until it wakes, and then
-  /// decides on the requests that waited before it reads what the others told meanwhile.
+  /// Stalls this share of the nodes until resume(). They then decide on the queued requests before
+  /// they read the beacons that have arrived in the meantime.
   void freeze(double share);
   void resume();
-  /// Callers keep to the first nodes of the fleet; 0: they go to all.
+  /// Callers use only the first `nodes` nodes; 0: all nodes.
   void limit_callers_to_first(std::size_t nodes) { reached_ = nodes == 0 ? nodes_.size() : nodes; }
-  /// This share of the nodes loses all memory.
+  /// Restarts this share of the nodes with empty state.
   void restart(double share);
-  /// The first nodes lose all memory.
+  /// Restarts the first `nodes` nodes with empty state.
   void restart_first(std::size_t nodes);
-  /// This share of the nodes is lost; they serve for so long without being asked, are lost again
-  /// and start anew.
+  /// Restarts this share of the nodes with empty state and, unless `away` is 0, once more after
+  /// `away`, during which no requests are sent.
   void crash(double share, net::Millis away);
-  /// Every node that has this place among so many says that it leaves, and serves on.
+  /// Nodes `place`, `place + among`, `place + 2 * among` and so on announce that they leave, but
+  /// continue to serve.
   void leave(std::size_t place, std::size_t among);
 
-  /// The nodes of this place start again after they have left.
+  /// Restarts the nodes that left with the same arguments.
   void rejoin(std::size_t place, std::size_t among);
 
-  /// Most requests that were let through in any window, and those that were refused although the
-  /// window before held fewer than the limit.
+  /// Maximum number of requests admitted in any window.
   int max_in_window() const;
+  /// Number of requests refused although they would not have exceeded the limit in the window
+  /// before them.
   int refused_within_limit(double limit) const;
   int admitted() const { return static_cast<int>(admitted_.size()); }
   int sent() const { return static_cast<int>(admitted_.size() + refused_.size()); }
@@ -78,9 +81,9 @@
     std::string zone;
     std::int64_t incarnation = 0;
     net::TimePoint started_at{};
-    int side = 0;  ///< of a cut: nodes of the same side hear of each other
+    int side = 0;  ///< side of a partition; only nodes on the same side can communicate
     bool frozen = false;
-    std::vector<Waiting> waiting;  ///< requests that came while it stood still, or wait for news
+    std::vector<Waiting> waiting;  ///< requests queued during a stall or until peer reports arrive
     std::vector<std::shared_ptr<const wire::Beacon>> unread;
     net::TimePoint next_refresh{};
     cluster::StallDetector stalls{net::TimePoint{}};
@@ -90,7 +93,7 @@
     net::TimePoint next_summary{};
     net::TimePoint urgent_from{};
     std::map<std::string, net::TimePoint> forwarded_at;
-    std::size_t turn = 0;  ///< of processes that beacons pass on
+    std::size_t turn = 0;  ///< rotation over the lost processes that beacons pass on
   };
   struct Message {
     net::TimePoint at;
@@ -100,7 +103,7 @@
   };
 
   void advance(net::Millis time);
-  /// As cluster::BeaconSender: in larger fleets news between zones goes by summaries.
+  /// Like cluster::BeaconSender, larger clusters exchange reports between zones by summaries.
   bool summarizes() const { return zones_.size() > 1; }
   void start(std::size_t node);
   wire::Beacon beacon_of(Node& node) const;
@@ -109,10 +112,10 @@
   void send_beacons(Node& node);
   void send_summary(Node& node);
   void deliver(const Message& message);
-  /// What cluster::BeaconSender::send_to_all() does.
+  /// Models cluster::BeaconSender::send_to_all().
   void send_to_zone(const Node& from, const std::shared_ptr<const wire::Beacon>& beacon);
   bool sends_to(const Node& from, const Node& to) const;
-  /// Decides again on requests that wait for news.
+  /// Retries requests that wait for peer reports.
   void retry_waiting(Node& node);
   void process_beacon(Node& node, const wire::Beacon& beacon);
   bool decide(Node& node, const tenancy::Tenant& tenant, const cluster::QuotaRequest& request);
@@ -121,7 +124,7 @@
   FleetNetwork network_;
   base::Random random_;
   std::vector<Node> nodes_;
-  std::size_t reached_;  ///< by callers, of the first nodes
+  std::size_t reached_;  ///< number of nodes that callers use, counted from the first one
   std::vector<std::string> zones_;
   std::priority_queue<Message, std::vector<Message>, std::greater<>> messages_;
   net::TimePoint now_ = net::TimePoint{} + std::chrono::hours(1);
--- a/tests/cluster/quota_loss_table_test.cpp
+++ b/tests/cluster/quota_loss_table_test.cpp
@@ -1,5 +1,5 @@
-// Figures of losses of nodes right after a burst: how much of a limit passes, and what is refused
-// inside it.
+// Prints a table of the effects of losing nodes right after a burst: the maximum number of requests
+// admitted in a window, and the number refused although they were within the limit.
 #include <catch2/catch.hpp>
 #include <iostream>
 
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-TEST_CASE("figures of losses of nodes right after a burst", "[.][quota-losses]") {
+TEST_CASE("table of node losses right after a burst", "[.][quota-losses]") {
   std::cout << "| nodes | rate | times | share lost | away ms | most | exceeded | refused inside | "
                "let through |\n";
   for (const Fleet fleet : {Fleet{4, 1, 60, 8}, Fleet{12, 1, 60, 3}, Fleet{4, 1, 7, 8},
--- a/tests/cluster/quota_old_news_test.cpp
+++ b/tests/cluster/quota_old_news_test.cpp
@@ -1,16 +1,15 @@
-// What users saw: a tenant with a limit of 42 requests in 5 s had 69 of them run, where 66 are the
-// most, in a fleet of 84 nodes; once, and not in a replay.
+// Guards against decisions based on outdated peer reports. A tenant with a limit of 42 requests in
+// 5 s (permitted maximum 66) once had 69 admitted in a cluster of 84 nodes; a replay did not
+// reproduce it.
 //
-// Order of events, in each of the cases below: the tenant sends several times its limit, as after
-// its limit was lowered; some nodes lose sight of others (a cut, a standstill, an orderly stop);
-// they go on to let requests through by what they heard before; the others do the same.
+// In each case below the tenant sends several times its limit, as after the limit was lowered,
+// while some nodes stop receiving reports from others (partition, stall or orderly stop) and both
+// sides continue to admit requests. The fault was that a peer's last report was used as its current
+// state until the peer was considered lost, here after 2 s. Afterwards its count decayed as if
+// spread evenly over the window, and nothing was added for requests since the report.
 //
-// Cause: a node took old news for the present. Until a peer counted as lost, which takes 2 s here,
-// its last count stood for what it had let through; afterwards the count faded as if it had been
-// spread evenly over the window, and nothing was added for what came since.
-//
-// Evidence: of the same fleet and load, without any of the three events, at most 59 requests pass
-// in a window (seeds 1 to 3); with a cut 80, with a standstill 112, with nodes that leave 141.
+// With the fault, the same cluster and load admitted at most 59 requests in a window without any of
+// these events (seeds 1 to 3), 80 with a partition, 112 with a stall and 141 with leaving nodes.
 #include <catch2/catch.hpp>
 
 #include "cluster/quota_fleet.hpp"
@@ -22,11 +21,11 @@
 
 constexpr std::size_t kNodes = 84;
 constexpr std::size_t kZones = 4;
-/// Limit of 42 requests in 5 s, at most 66 by the bounds that nodes begin with.
+/// Limit of 42 requests in 5 s, at most 66 with the default bounds.
 constexpr double kRate = 7;
 constexpr int kMaxRequests = 66;
 constexpr double kLowRate = 2;
-/// What callers send whose tenant's limit was lowered far below it.
+/// Request rate of callers whose tenant's limit was lowered far below it.
 constexpr double kHighRate = 5 * kRate;
 constexpr net::Millis kSteadyTime{6000};
 constexpr net::Millis kFaultTime{9000};
@@ -38,7 +37,7 @@
   return tenant;
 }
 
-/// Requests of programs under way, which may use a part of what the limit may be exceeded by.
+/// A request of a program in progress, which may use part of the permitted overshoot.
 cluster::QuotaRequest under_way() {
   cluster::QuotaRequest request;
   request.continues = true;
--- a/tests/cluster/quota_restart_test.cpp
+++ b/tests/cluster/quota_restart_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr int kNodes = 4;
 constexpr double kRate = 60;
-/// 60 a second over 5 s and a burst of 60, a tenth more and 20.
+/// 60 requests per second over 5 s and a burst of 60, plus 10% and 20 requests.
 constexpr int kMaxRequests = 416;
 constexpr double kLoweredShare = 0.6;
 
@@ -22,7 +22,8 @@
 
 }  // namespace
 
-// Guards against new nodes that take an even use of the limit for granted: 420 to 448 requests.
+// Guards against new nodes that assume that the limit was used evenly before they started, which
+// admitted 420 to 448 requests.
 TEST_CASE("a limit holds over a loss of all nodes right after a burst", "[cluster][quota]") {
   cluster::QuotaRequest under_way;
   under_way.continues = true;
@@ -36,9 +37,9 @@
   REQUIRE(fleet.max_in_window() <= kMaxRequests);
 }
 
-// Guards against the same where survivors know a part of the burst: up to 497 requests.
-TEST_CASE("a limit holds over a loss of nodes at any load and with any time away",
-          "[cluster][quota]") {
+// Guards against the same fault when the surviving nodes know part of the burst, which admitted up
+// to 497 requests.
+TEST_CASE("a limit holds over a loss of nodes at any load and any downtime", "[cluster][quota]") {
   const auto nodes = GENERATE(4, 12);
   const auto rate = GENERATE(7.0, 60.0, 200.0);
   const auto times = GENERATE(3.0, 5.0);
@@ -73,7 +74,8 @@
   REQUIRE(fleet.refused_within_limit(6 * kRate) == refused_before);
 }
 
-// Guards against new nodes that do not know what one lost node had let through for all callers.
+// Guards against new nodes that do not know how many requests a lost node had admitted when it
+// served all callers.
 TEST_CASE("a limit holds over the loss of the nodes that served most callers", "[cluster][quota]") {
   cluster::QuotaRequest under_way;
   under_way.continues = true;
@@ -90,8 +92,8 @@
   REQUIRE(fleet.max_in_window() <= kMaxRequests);
 }
 
-// Guards against counting a lost node twice, by what it told and by its share of the limit.
-TEST_CASE("a tenant below its limit loses nothing to lost nodes once all hear of each other",
+// Guards against counting a lost node twice: by its reports and by its share of the limit.
+TEST_CASE("a tenant below its limit is not refused once restarted nodes exchange reports",
           "[cluster][quota]") {
   const auto nodes = GENERATE(4, 12);
   const auto seed = GENERATE(range(1U, 5U));
@@ -108,9 +110,9 @@
   }
 }
 
-// Guards against a process that told nothing of the burst standing for the one before it, which
-// did.
-TEST_CASE("a limit holds over nodes that are lost again half a second later", "[cluster][quota]") {
+// Guards against a short-lived process without reports of the burst replacing its predecessor,
+// which had reported it.
+TEST_CASE("a limit holds over nodes that restart again half a second later", "[cluster][quota]") {
   cluster::QuotaRequest under_way;
   under_way.continues = true;
   const auto seed = GENERATE(range(1U, 9U));
--- a/tests/cluster/store_relay_test.cpp
+++ b/tests/cluster/store_relay_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A node alone, whose store was silent until now and answers slowly from now on.
+/// A single node whose store did not answer until now and answers slowly from now on.
 struct SlowReturnFixture {
   net::asio::io_context context;
   std::unique_ptr<std::FILE, int (*)(std::FILE*)> log_file{std::tmpfile(), std::fclose};
@@ -30,7 +30,7 @@
     table.set_lost_percent(0);
     table.set_answer_time(net::Millis(240));
   }
-  /// @return whether the store was taken for back within this time.
+  /// @return whether the recovery of the store was detected within this time.
   bool back_within(net::Millis time) {
     net::asio::co_spawn(context, relay.probe_loop(), net::asio::detached);
     const auto until = net::Clock::now() + time;
@@ -41,12 +41,12 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(SlowReturnFixture, "a store that answers slowly is not taken for away",
+TEST_CASE_METHOD(SlowReturnFixture, "a store that answers slowly is not considered unreachable",
                  "[cluster][slow]") {
   REQUIRE(back_within(net::Millis(800)));
 }
 
-TEST_CASE_METHOD(SlowReturnFixture, "probes that wait for each other give a slow store up",
+TEST_CASE_METHOD(SlowReturnFixture, "sequential probes do not detect the recovery of a slow store",
                  "[cluster][slow]") {
   relay.set_overlapping(false);
   REQUIRE_FALSE(back_within(net::Millis(1200)));
--- a/tests/cluster/tenant_quotas_test.cpp
+++ b/tests/cluster/tenant_quotas_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// 25 requests a second and 25 on top: 150 in 5 s; at most 185 by the bounds that nodes begin with.
+/// 25 requests per second and a burst of 25: 150 in 5 s, at most 185 with the default bounds.
 tenancy::Tenant small_tenant() {
   tenancy::Tenant tenant;
   tenant.name = "choir";
@@ -18,7 +18,7 @@
   return tenant;
 }
 
-/// 421 a second: 2,526 in 5 s, at most 2,798.
+/// 421 requests per second and a burst of 421: 2,526 in 5 s, at most 2,798.
 tenancy::Tenant large_tenant() {
   tenancy::Tenant tenant;
   tenant.name = "federation";
@@ -30,7 +30,7 @@
 constexpr int kSmallMax = 185;
 constexpr double kLargeLimit = 2526;
 constexpr int kLargeMax = 2798;
-/// What tenants send when nothing happens: limits are set at 1.6 times of it.
+/// Normal request rates of the tenants; limits are 1.6 times as high.
 constexpr double kUsualSmall = 25 / 1.6;
 constexpr double kUsualLarge = 421 / 1.6;
 
@@ -38,8 +38,7 @@
 
 }  // namespace
 
-TEST_CASE("requests inside the limit are let through at any size of the fleet",
-          "[cluster][quota]") {
+TEST_CASE("requests within the limit are admitted at any cluster size", "[cluster][quota]") {
   const auto nodes = GENERATE(1, 12, 84);
   INFO(nodes);
   QuotaFleet fleet(nodes, nodes < 4 ? 1 : 4, {}, 1);
@@ -65,7 +64,7 @@
   REQUIRE(large.max_in_window() >= kLargeLimit * 0.8);
 }
 
-TEST_CASE("nodes that are cut off from all others keep the limit with them", "[cluster][quota]") {
+TEST_CASE("the limit holds with nodes that are isolated from all others", "[cluster][quota]") {
   const auto seed = GENERATE(1U, 2U, 3U);
   INFO(seed);
   QuotaFleet fleet(84, 4, {}, seed);
@@ -77,7 +76,7 @@
   REQUIRE(fleet.max_in_window() <= kSmallMax);
 }
 
-TEST_CASE("the limit holds while half of the nodes or all of them forget what they let through",
+TEST_CASE("the limit holds when half of the nodes or all of them lose their counts",
           "[cluster][quota]") {
   const auto share = GENERATE(0.5, 1.1);
   const auto seed = GENERATE(1U, 2U, 3U);
@@ -89,7 +88,7 @@
   REQUIRE(fleet.max_in_window() <= kLargeMax);
 }
 
-TEST_CASE("nodes that restart in turn refuse nothing inside the limit", "[cluster][quota]") {
+TEST_CASE("a rolling restart refuses no requests within the limit", "[cluster][quota]") {
   QuotaFleet fleet(84, 4, {}, 1);
   for (int round = 0; round < 10; ++round) {
     fleet.restart(1.0 / 84);
@@ -98,7 +97,7 @@
   REQUIRE(fleet.refused_within_limit(kSmallLimit) == 0);
 }
 
-TEST_CASE("the limit holds where many beacons are lost", "[cluster][quota]") {
+TEST_CASE("the limit holds with high beacon loss", "[cluster][quota]") {
   const auto seed = GENERATE(1U, 2U, 3U);
   INFO(seed);
   QuotaFleet fleet(84, 4, FleetNetwork{net::Millis(40), 0.3}, seed);
@@ -109,7 +108,7 @@
 
 namespace {
 
-/// 60 a second and 60 on top: 360 in 5 s, at most 416.
+/// 60 requests per second and a burst of 60: 360 in 5 s, at most 416.
 tenancy::Tenant medium_tenant() {
   tenancy::Tenant tenant;
   tenant.name = "band";
@@ -121,20 +120,20 @@
 
 }  // namespace
 
-TEST_CASE("nodes that have just started do not each begin before they hear of each other",
+TEST_CASE("the limit holds when restarted nodes have not yet received each other's reports",
           "[cluster][quota]") {
   const auto seed = GENERATE(1U, 2U, 3U, 4U);
   INFO(seed);
   QuotaFleet fleet(4, 1, {}, seed);
   fleet.send(medium_tenant(), 160, net::Millis(6000));
   fleet.restart(1.1);
-  // Callers that were cut off come back at once.
+  // Disconnected callers retry at once.
   fleet.send(medium_tenant(), 600, net::Millis(600));
   fleet.send(medium_tenant(), 160, kSteadyTime);
   REQUIRE(fleet.max_in_window() <= kMediumMax);
 }
 
-TEST_CASE("what leaving nodes let through counts on", "[cluster][quota]") {
+TEST_CASE("requests admitted by leaving nodes are still counted", "[cluster][quota]") {
   const auto seed = GENERATE(1U, 2U, 3U, 4U);
   INFO(seed);
   QuotaFleet fleet(4, 1, {}, seed);
@@ -146,10 +145,11 @@
   REQUIRE(fleet.max_in_window() <= kMediumMax);
 }
 
-// A soak of four processes (seed 7041): their callers had waited for the store, which came back.
-// Asked for 180 requests a second before and for 520 after, the nodes let 438 of 416 through before
-// they heard of each other: the last word of each was up to 0.2 s old.
-TEST_CASE("a few nodes hold the limit when callers that waited all go on at once",
+// Guards against overshoot when queued callers resume together, as found by a soak test of four
+// processes (seed 7041) after an outage of the store. The load rose from 180 to 520 requests per
+// second, and the nodes admitted 438 requests where 416 are allowed, because their reports of each
+// other were up to 0.2 s old.
+TEST_CASE("a small cluster holds the limit when waiting callers resume all at once",
           "[cluster][quota]") {
   const auto seed = GENERATE(range(1U, 13U));
   INFO(seed);
--- a/tests/cluster/turn_coordinator_test.cpp
+++ b/tests/cluster/turn_coordinator_test.cpp
@@ -17,14 +17,14 @@
 
 constexpr std::int64_t kHomeIncarnation = 102;
 constexpr std::int64_t kBudget = 900;
-/// Two such turns do not fit into the budget.
+/// Two such turns exceed the budget.
 constexpr std::int64_t kTurnTokens = 588;
-/// Longer than a node waits for any answer of a peer.
+/// Longer than any timeout of a call to a peer.
 constexpr net::Millis kPeerTimeout{1000};
 constexpr int kTries = 20;
 constexpr net::Millis kTryPause{100};
 
-/// A node, the home of all programs used here, and the link to the home, which can fail.
+/// A node and the home of all programs used here, connected by a link that can fail.
 struct LossyLinkFixture : test::GatewayFixture {
   bench::FaultProxies links;
   serving::NodeSettings node_settings = named("node");
@@ -60,7 +60,7 @@
     node->state().peers.put("home", row, net::Clock::now());
   }
 
-  /// A program whose home, for the node, is the other one.
+  /// A program whose home is the other node.
   std::string program_at_home() {
     for (int i = 0;; ++i) {
       const auto program = "program-" + std::to_string(i);
@@ -84,7 +84,7 @@
     const auto until = net::Clock::now() + time;
     run_until(context, [&] { return net::Clock::now() >= until; });
   }
-  /// Whether a caller that asks again and again gets the turn.
+  /// Whether a caller that retries gets the turn.
   bool begins_at_last(const std::string& program, std::int64_t tokens) {
     for (int tries = 0; tries < kTries; ++tries) {
       if (begin(program, tokens).reservation == ReserveOutcome::kReserved) return true;
@@ -118,7 +118,7 @@
 }
 
 TEST_CASE_METHOD(LossyLinkFixture,
-                 "a budget is not called exhausted while a live holder of it cannot be asked",
+                 "a budget is not reported as exhausted while a live holder is unreachable",
                  "[cluster][reservations]") {
   const auto program = program_at_home();
   REQUIRE(begin(program, kTurnTokens).reservation_node == "home");
@@ -127,7 +127,7 @@
 }
 
 TEST_CASE_METHOD(test::GatewayFixture,
-                 "a home whose answer cannot be read is told to give back what it reserved",
+                 "a reservation is closed at a home whose answer cannot be decoded",
                  "[cluster][reservations]") {
   start_unconfigured();
   std::vector<std::string> asked;
--- a/tests/quota/admission_test.cpp
+++ b/tests/quota/admission_test.cpp
@@ -11,12 +11,13 @@
 
 namespace {
 
-/// 25 a second and 25 on top: 150 in 5 s, of which 185 may be exceeded at most.
+/// 25 requests per second and a burst of 25: 150 in 5 s, with a permitted maximum of 185.
 const Limit kSmallLimit{25, 25};
 constexpr double kLimit = 150;
 constexpr double kMaxRequests = 185;
 
-/// @param draw the unluckiest one: what passes with it passes always.
+/// @param draw defaults to the least favourable value: a request admitted with it is always
+/// admitted.
 Admission decide(const FleetUsage& usage, ProgramStage stage = ProgramStage::kInProgress,
                  double draw = 0.999999) {
   return quota::decide(kSmallLimit, Bounds{}, usage, stage, draw);
@@ -31,11 +32,11 @@
 
 }  // namespace
 
-TEST_CASE("a tenant without a limit is let through", "[quota]") {
+TEST_CASE("requests of a tenant without a limit are admitted", "[quota]") {
   REQUIRE(quota::decide(Limit{}, Bounds{}, used(1e6, 1e6), ProgramStage::kNew, 0).admitted);
 }
 
-TEST_CASE("all requests inside the limit are let through, none beyond the most", "[quota]") {
+TEST_CASE("requests within the limit are admitted, requests above the maximum are not", "[quota]") {
   REQUIRE(decide(used(1, kLimit - 2)).admitted);
   const auto refused = decide(used(1, kMaxRequests - 1));
   REQUIRE_FALSE(refused.admitted);
@@ -43,11 +44,11 @@
   REQUIRE(refused.allowed < kMaxRequests);
 }
 
-TEST_CASE("a refusal tells whether the counted requests were inside the limit", "[quota]") {
+TEST_CASE("a refusal says whether the counted requests were within the limit", "[quota]") {
   REQUIRE_FALSE(decide(used(1, kMaxRequests - 1)).within_limit);
   auto usage = used(1, kLimit - 10);
   REQUIRE(decide(usage).within_limit);
-  // Refused for what may have come, not for what was counted.
+  // Refused because of possible unreported requests, not because of counted ones.
   usage.unreported = 200;
   const auto refused = decide(usage);
   REQUIRE_FALSE(refused.admitted);
@@ -57,38 +58,38 @@
   REQUIRE_FALSE(decide(usage).within_limit);
 }
 
-TEST_CASE("what came since the others told counts", "[quota]") {
+TEST_CASE("requests since the peers' last reports are counted", "[quota]") {
   auto usage = used(1, kLimit - 2);
   usage.unreported = 40;
   REQUIRE_FALSE(decide(usage).admitted);
 }
 
-TEST_CASE("of more requests than there is room for a share is let through", "[quota]") {
-  // Room for 15, and 29 others ask for it: half of them would take it all before anybody sees that,
-  // so that fewer may have it.
+TEST_CASE("a share of the requests is admitted when demand exceeds the capacity", "[quota]") {
+  // Capacity for 15 with 29 other requests competing: admitting half of them would use all of it
+  // before any report shows this, so a smaller share is admitted.
   auto usage = used(1, kLimit);
   usage.others = decide(usage).allowed - usage.own - 15;
   usage.unreported = 29;
   REQUIRE(decide(usage, ProgramStage::kInProgress, 0.30).admitted);
   REQUIRE_FALSE(decide(usage, ProgramStage::kInProgress, 0.31).admitted);
-  // What has left the window since is replaced in full.
+  // Requests that have left the window since the report are replaced in full.
   usage.expired = 6;
   REQUIRE(decide(usage, ProgramStage::kInProgress, 0.50).admitted);
   REQUIRE_FALSE(decide(usage, ProgramStage::kInProgress, 0.52).admitted);
   usage.expired = 0;
-  // None where there is no room, however lucky.
+  // Without capacity no request is admitted, whatever the draw.
   usage.others += 15;
   REQUIRE_FALSE(decide(usage, ProgramStage::kInProgress, 0).admitted);
 }
 
-TEST_CASE("programs that have not begun are refused before those under way", "[quota]") {
+TEST_CASE("new programs are refused before programs in progress", "[quota]") {
   const auto usage = used(5, kLimit - 5);
   REQUIRE_FALSE(decide(usage, ProgramStage::kNew).admitted);
   REQUIRE(decide(usage, ProgramStage::kInProgress).admitted);
   REQUIRE(decide(used(5, kLimit - 6), ProgramStage::kNew).admitted);
 }
 
-TEST_CASE("groups that are cut off from each other share the limit by their nodes", "[quota]") {
+TEST_CASE("partitioned groups share the limit in proportion to their nodes", "[quota]") {
   double together = 0;
   for (const double live : {0.6, 0.3, 0.1}) {
     FleetUsage usage;
@@ -100,7 +101,7 @@
   REQUIRE(together >= kLimit - 3);
 }
 
-TEST_CASE("what nodes let through before they fell silent counts", "[quota]") {
+TEST_CASE("requests admitted by nodes that stopped reporting are counted", "[quota]") {
   auto usage = used(0, 0);
   usage.silent = kLimit;
   while (decide(usage).admitted) ++usage.own;
@@ -108,7 +109,7 @@
 }
 
 TEST_CASE("nodes that have all just started do not begin with a full allowance", "[quota]") {
-  // Before the restart the tenant had used its limit evenly; it sends as much as it can after it.
+  // The tenant used its limit evenly before the restart and sends as much as possible after it.
   for (const double passed : {0.1, 0.3, 0.5, 0.9}) {
     FleetUsage usage;
     usage.restarted_share = 1;
@@ -133,7 +134,7 @@
     const auto refused = decide(usage, ProgramStage::kInProgress, 0.999999);
     REQUIRE(refused.span == net::Millis(500) * static_cast<std::int64_t>(parts));
     REQUIRE_FALSE(refused.within_limit);
-    // Room comes with the rate, not when the window has passed.
+    // Capacity becomes free at the rate, not only after a whole window.
     REQUIRE(refused.retry_after <= net::Millis(500));
   }
 }
@@ -146,7 +147,7 @@
       ++before.own;
       ++before.reported_by_age[parts - 1];
     }
-    // The rest of the window has passed since the loss.
+    // Since the loss, the rest of the window has passed.
     const std::size_t since = quota::kWindowBuckets - parts;
     FleetUsage after;
     after.restarted_share = 1;
@@ -164,7 +165,7 @@
           "[quota]") {
   FleetUsage usage;
   usage.restarted_share = 1;
-  // Each 0.1 s; 0.8 of its rate.
+  // Steps of 0.1 s at 0.8 of the tenant's rate.
   for (int step = 10; step < 50; ++step) {
     usage.unknown_history = std::min(1.0, 1.1 - 0.02 * step);
     usage.own = 0.8 * kSmallLimit.rate_per_s * 0.1 * step;
@@ -173,7 +174,7 @@
   }
 }
 
-TEST_CASE("the time to come back follows from what leaves the window", "[quota]") {
+TEST_CASE("the retry delay follows from the requests that leave the window", "[quota]") {
   const auto soon = decide(used(1, kMaxRequests));
   REQUIRE(soon.retry_after >= net::Millis(200));
   REQUIRE(soon.retry_after <= net::Millis(1000));
--- a/tests/quota/usage_window_test.cpp
+++ b/tests/quota/usage_window_test.cpp
@@ -18,12 +18,12 @@
   REQUIRE(window.empty());
 }
 
-TEST_CASE("requests of a window are told by their age", "[quota]") {
+TEST_CASE("requests of a window are reported by their age", "[quota]") {
   const net::TimePoint start = net::TimePoint{} + std::chrono::hours(1);
   UsageWindow window(net::Millis(5000));
   for (int i = 0; i < 3; ++i) window.add(start);
   for (int i = 0; i < 4; ++i) window.add(start + net::Millis(2000));
-  const auto parts = window.parts(start + net::Millis(2250), net::Millis(5000));
+  const auto parts = window.buckets(start + net::Millis(2250), net::Millis(5000));
   REQUIRE(quota::sum_latest_buckets(parts, 1) == 4);
   REQUIRE(quota::sum_latest_buckets(parts, 4) == 4);
   REQUIRE(quota::sum_latest_buckets(parts, 5) == 7);
@@ -48,8 +48,8 @@
       for (const auto time : times) count += time > now - wide ? 1 : 0;
       return count;
     };
-    const auto told = window.within(now, span);
-    RC_ASSERT(told >= counted(span));
-    RC_ASSERT(told <= counted(span + net::Millis(101)));
+    const auto reported = window.within(now, span);
+    RC_ASSERT(reported >= counted(span));
+    RC_ASSERT(reported <= counted(span + net::Millis(101)));
   }));
 }
