--- a/src/cluster/fleet_usage.cpp
+++ b/src/cluster/fleet_usage.cpp
@@ -24,10 +24,10 @@
   UsageSum(std::int32_t tenant, net::TimePoint now, net::Millis silence, net::Millis window)
       : tenant_(tenant), now_(now), news_age_(NewsAge::within(silence)), window_(window) {}
 
-  void add(const TenantUsages& told, net::TimePoint told_at) {
-    const auto found = told.find(tenant_);
-    if (found == told.end()) return;
-    const auto age = between(told_at, now_);
+  void add(const TenantUsages& reports, net::TimePoint reported_at) {
+    const auto found = reports.find(tenant_);
+    if (found == reports.end()) return;
+    const auto age = between(reported_at, now_);
     const auto usage = age_usage(found->second, age, window_);
     const double weight = news_age_.weight(age);
     sum_.reported += weight * usage.window;
@@ -99,9 +99,9 @@
     const auto served = between(start, now);
     if (served >= window) return;
     // Reports of the node's earlier processes are counted separately.
-    const auto untold = directory.departed().untold(node, now - window, start);
+    const auto uncovered = directory.departed().untold(node, now - window, start);
     // Spans are evaluated in steps of one bucket, so up to one more bucket may be missing.
-    const auto before = std::min(window, untold + quota::bucket_length(window));
+    const auto before = std::min(window, uncovered + quota::bucket_length(window));
     membership.restarted_share += 1;
     membership.unknown_history +=
         static_cast<double>(before.count()) / static_cast<double>(window.count());
@@ -124,8 +124,8 @@
     ++membership.known;
     const auto sum = directory.zone_sums().find(departed.zone);
     const bool summed = sum != directory.zone_sums().end();
-    const auto told_at = summed ? sum->second.taken_at : departed.last_heard;
-    membership.fresh += news_age.weight(between(told_at, now));
+    const auto reported_at = summed ? sum->second.taken_at : departed.last_heard;
+    membership.fresh += news_age.weight(between(reported_at, now));
   }
   for (const auto& [zone, sum] : directory.zone_sums()) {
     membership.fresh += std::min(fresh_summary_members(sum, now, news_age), known_in_zone[zone]);
--- a/src/cluster/tenant_usage.cpp
+++ b/src/cluster/tenant_usage.cpp
@@ -13,16 +13,16 @@
 }
 
 void write_age_buckets(const quota::BucketCounts& parts, wire::TenantUsage& usage) {
-  std::vector<std::int32_t> told;
-  for (const auto count : parts) told.push_back(static_cast<std::int32_t>(count));
-  while (!told.empty() && told.back() == 0) told.pop_back();
-  usage.__set_parts(told);
+  std::vector<std::int32_t> counts;
+  for (const auto count : parts) counts.push_back(static_cast<std::int32_t>(count));
+  while (!counts.empty() && counts.back() == 0) counts.pop_back();
+  usage.__set_parts(counts);
 }
 
 quota::BucketCounts read_age_buckets(const wire::TenantUsage& usage) {
   quota::BucketCounts parts{};
-  const auto told = std::min(parts.size(), usage.parts.size());
-  std::copy_n(usage.parts.begin(), told, parts.begin());
+  const auto count = std::min(parts.size(), usage.parts.size());
+  std::copy_n(usage.parts.begin(), count, parts.begin());
   return parts;
 }
 
@@ -47,13 +47,13 @@
   return later;
 }
 
-void merge_usages(const TenantUsages& usages, const UsageReportInfo& news, TenantUsages& sum) {
-  for (const auto& [tenant, told] : usages) {
-    const auto usage = age_usage(told, news.age, news.window);
+void merge_usages(const TenantUsages& usages, const UsageReportInfo& info, TenantUsages& sum) {
+  for (const auto& [tenant, report] : usages) {
+    const auto usage = age_usage(report, info.age, info.window);
     auto& total = sum[tenant];
     total.window += usage.window;
     total.leaving_soon += usage.leaving_soon;
-    if (news.still_asked) total.asked_per_s += usage.asked_per_s;
+    if (info.still_receiving) total.asked_per_s += usage.asked_per_s;
     auto parts = read_age_buckets(total);
     const auto added = read_age_buckets(usage);
     std::transform(parts.begin(), parts.end(), added.begin(), parts.begin(), std::plus<>());
--- a/src/cluster/tenant_usage.hpp
+++ b/src/cluster/tenant_usage.hpp
@@ -34,11 +34,11 @@
 /// Properties of reports that are added to a sum.
 struct UsageReportInfo {
   net::Millis age{0};
-  net::Millis window{0};    ///< sliding window of the rate limits
-  bool still_asked = true;  ///< whether the reporting nodes still receive requests
+  net::Millis window{0};        ///< sliding window of the rate limits
+  bool still_receiving = true;  ///< whether the reporting nodes still receive requests
 };
 
 /// Adds the reported requests that are still in the window to `sum`.
-void merge_usages(const TenantUsages& usages, const UsageReportInfo& news, TenantUsages& sum);
+void merge_usages(const TenantUsages& usages, const UsageReportInfo& info, TenantUsages& sum);
 
 }  // namespace sailgate::cluster
--- a/src/cluster/turn_coordinator.cpp
+++ b/src/cluster/turn_coordinator.cpp
@@ -19,7 +19,7 @@
 constexpr int kHomeStoreAttempts = 3;
 constexpr net::Millis kMinHomeStoreTime{180};
 constexpr net::Millis kMaxHomeStoreTime{800};
-/// Time allowed for the home's answer beyond its time for store calls.
+/// Time allowed for the home's answer beyond its time for store calls; after that it is bypassed.
 constexpr net::Millis kHomeMargin{70};
 constexpr net::Millis kEndTimeout{400};
 /// Bounds of the exponential backoff between attempts to deliver the end of a turn.
