--- a/tests/cluster/quota_fleet.cpp
+++ b/tests/cluster/quota_fleet.cpp
@@ -67,8 +67,8 @@
   wire::Beacon beacon;
   beacon.incarnation = node.incarnation;
   beacon.reaches_store = true;
-  auto told = node.quotas->told(now_);
-  if (!told.empty()) beacon.__set_tenants(std::move(told));
+  auto reports = node.quotas->told(now_);
+  if (!reports.empty()) beacon.__set_tenants(std::move(reports));
   const auto uptime = std::chrono::duration_cast<net::Millis>(now_ - node.started_at);
   beacon.__set_uptime_ms(static_cast<std::int32_t>(uptime.count()));
   beacon.__set_sent_ms(uptime.count());
@@ -146,10 +146,10 @@
 }
 
 void QuotaFleet::process_beacon(Node& node, const wire::Beacon& beacon) {
-  const auto told_at = node.directory->on_beacon(beacon, now_).value_or(now_);
+  const auto sent_at = node.directory->on_beacon(beacon, now_).value_or(now_);
   if (!beacon.__isset.summary) return;
-  node.directory->on_summary(beacon.summary, told_at);
-  if (now_ > told_at + kMaxForwardedAge) return;
+  node.directory->on_summary(beacon.summary, sent_at);
+  if (now_ > sent_at + kMaxForwardedAge) return;
   const auto* sender = node.directory->find(beacon.incarnation);
   const bool first_hand = sender != nullptr && sender->zone == beacon.summary.zone;
   if (!first_hand || sender->zone == node.zone) return;
--- a/tests/cluster/quota_loss_table_test.cpp
+++ b/tests/cluster/quota_loss_table_test.cpp
@@ -56,8 +56,9 @@
 }  // namespace
 
 TEST_CASE("table of node losses right after a burst", "[.][quota-losses]") {
-  std::cout << "| nodes | rate | times | share lost | away ms | most | exceeded | refused inside | "
-               "let through |\n";
+  std::cout
+      << "| nodes | rate | times | share lost | away ms | max | exceeded | refused within limit | "
+         "admitted |\n";
   for (const Fleet fleet : {Fleet{4, 1, 60, 8}, Fleet{12, 1, 60, 3}, Fleet{4, 1, 7, 8},
                             Fleet{4, 1, 200, 8}, Fleet{84, 4, 60, 2}, Fleet{84, 4, 200, 2}}) {
     for (const double times : {0.9, 3.0, 5.0}) {
