--- a/tests/cluster/cluster_test.cpp
+++ b/tests/cluster/cluster_test.cpp
@@ -67,7 +67,7 @@
   const auto program = program_at_second();
   const auto start = begin(first, program, 100);
   REQUIRE(start.reservation == ReserveOutcome::kReserved);
-  REQUIRE(start.keeper == "second");
+  REQUIRE(start.reservation_node == "second");
   const int writes = table.writes();
   REQUIRE(begin(second, program, 100).reservation == ReserveOutcome::kReserved);
   REQUIRE(table.writes() == writes);
@@ -89,10 +89,10 @@
 TEST_CASE_METHOD(Fixture, "without its home, a program's budget is decided by its row",
                  "[cluster]") {
   const auto program = program_at_second();
-  REQUIRE(begin(first, program, 400).keeper == "second");
+  REQUIRE(begin(first, program, 400).reservation_node == "second");
   first.state().peers.suspect("second", net::Clock::now() + net::Millis(60'000));
   const auto start = begin(first, program, 500);
-  REQUIRE(start.keeper.empty());
+  REQUIRE(start.reservation_node.empty());
   REQUIRE(start.reservation == ReserveOutcome::kReserved);
   REQUIRE(begin(first, program, 101).reservation == ReserveOutcome::kExhausted);
 }
@@ -100,7 +100,7 @@
 TEST_CASE_METHOD(Fixture, "tokens granted to another node but unused are reclaimed", "[cluster]") {
   const auto program = program_at_second();
   const auto start = begin(first, program, 600);
-  REQUIRE(start.keeper == "second");
+  REQUIRE(start.reservation_node == "second");
   first.state().turns.end({tenancy::StateKey("", program), "", 600, 100, nullptr, ""}, start);
   run_until(context, [&] {
     // The home has settled the turn once it can reserve the unused tokens again.
@@ -237,8 +237,8 @@
   REQUIRE(owned_by(*first) > kShards / 4);
   REQUIRE(owned_by(*second) > kShards / 4);
   const auto program = program_of(*second);
-  REQUIRE(begin(*first, program, 100).keeper == "second");
-  REQUIRE(begin(*second, program, 100).keeper.empty());
+  REQUIRE(begin(*first, program, 100).reservation_node == "second");
+  REQUIRE(begin(*second, program, 100).reservation_node.empty());
 }
 
 TEST_CASE_METHOD(EscrowFixture, "any node starts programs while the store is unavailable",
--- a/tests/cluster/quota_loss_table_test.cpp
+++ b/tests/cluster/quota_loss_table_test.cpp
@@ -1,5 +1,5 @@
-// Figures of losses of nodes right after a burst: how much of a limit passes, and what is refused
-// inside it.
+// Prints a table of the effects of losing nodes right after a burst: the maximum number of requests
+// admitted in a window, and the number refused although they were within the limit.
 #include <catch2/catch.hpp>
 #include <iostream>
 
@@ -24,13 +24,13 @@
   return tenant;
 }
 
-void play(const Fleet& fleet, double times, double share, net::Millis away) {
+void run_scenario(const Fleet& fleet, double times, double share, net::Millis away) {
   const double limit = 6 * fleet.rate;
-  const int most = static_cast<int>(limit * 1.1 + 20);
-  int most_seen = 0;
+  const int max_requests = static_cast<int>(limit * 1.1 + 20);
+  int observed_max = 0;
   int over = 0;
   int refused = 0;
-  int passed = 0;
+  int admitted = 0;
   int sent = 0;
   for (unsigned seed = 1; seed <= fleet.seeds; ++seed) {
     QuotaFleet nodes(fleet.nodes, fleet.zones, {}, seed);
@@ -39,25 +39,26 @@
     const auto tenant = tenant_of(fleet.rate);
     nodes.send(tenant, under_way, fleet.rate / 2, net::Millis(6000));
     nodes.send(tenant, under_way, times * fleet.rate, net::Millis(1500));
-    nodes.lose(share, away);
+    nodes.crash(share, away);
     nodes.send(tenant, under_way, times * fleet.rate, net::Millis(6000));
-    most_seen = std::max(most_seen, nodes.most_in_window());
-    over += nodes.most_in_window() > most ? 1 : 0;
-    refused += nodes.refused_inside(limit);
+    observed_max = std::max(observed_max, nodes.max_in_window());
+    over += nodes.max_in_window() > max_requests ? 1 : 0;
+    refused += nodes.refused_within_limit(limit);
     sent += nodes.sent();
-    passed += nodes.passed();
+    admitted += nodes.admitted();
   }
   std::cout << "| " << fleet.nodes << " | " << fleet.rate << " | " << times << " | " << share
-            << " | " << away.count() << " | " << most_seen << " of " << most << " | " << over
-            << " of " << fleet.seeds << " | " << refused << " | " << passed << " of " << sent
-            << " |" << std::endl;
+            << " | " << away.count() << " | " << observed_max << " of " << max_requests << " | "
+            << over << " of " << fleet.seeds << " | " << refused << " | " << admitted << " of "
+            << sent << " |" << std::endl;
 }
 
 }  // namespace
 
-TEST_CASE("figures of losses of nodes right after a burst", "[.][quota-losses]") {
-  std::cout << "| nodes | rate | times | share lost | away ms | most | exceeded | refused inside | "
-               "let through |\n";
+TEST_CASE("table of node losses right after a burst", "[.][quota-losses]") {
+  std::cout
+      << "| nodes | rate | times | share lost | away ms | max | exceeded | refused within limit | "
+         "admitted |\n";
   for (const Fleet fleet : {Fleet{4, 1, 60, 8}, Fleet{12, 1, 60, 3}, Fleet{4, 1, 7, 8},
                             Fleet{4, 1, 200, 8}, Fleet{84, 4, 60, 2}, Fleet{84, 4, 200, 2}}) {
     for (const double times : {0.9, 3.0, 5.0}) {
@@ -65,7 +66,7 @@
         for (const auto away : {net::Millis(0), net::Millis(500), net::Millis(1500)}) {
           if (share == 0.0 && away.count() > 0) continue;
           if (fleet.nodes > 4 && away.count() == 1500) continue;
-          play(fleet, times, share, away);
+          run_scenario(fleet, times, share, away);
         }
       }
     }
