--- a/src/admission/service_load.cpp
+++ b/src/admission/service_load.cpp
@@ -10,9 +10,9 @@
 
 /// Whether the engine fails for this node or for many others, of late.
 bool fails(const balancing::Engine& engine, net::TimePoint now) {
-  if (engine.left_to_probe) return true;
+  if (engine.awaiting_probe) return true;
   return balancing::failed_lately(engine, now) &&
-         engine.consecutive_failures >= balancing::kFailuresOfManyNodes;
+         engine.consecutive_failures >= balancing::kSharedFailureThreshold;
 }
 
 }  // namespace
--- a/src/balancing/believed_speed.cpp
+++ b/src/balancing/believed_speed.cpp
@@ -15,20 +15,20 @@
 
 }  // namespace
 
-SpeedFigure merged(const SpeedFigure& own, const SpeedFigure& told) {
+SpeedReport merged(const SpeedReport& own, const SpeedReport& told) {
   std::int64_t samples = 0;
   std::int64_t sum = 0;
   for (const auto& figure : {own, told}) {
     if (figure.samples <= 0) continue;
-    const std::int64_t counted = std::min(figure.samples, kMostSamples);
+    const std::int64_t counted = std::min(figure.samples, kMaxSamples);
     samples += counted;
-    sum += counted * std::clamp(figure.permille, kLeastPermille, kMostPermille);
+    sum += counted * std::clamp(figure.permille, kMinPermille, kMaxPermille);
   }
   if (samples == 0) return {};
   return {static_cast<int>(sum / samples), static_cast<int>(samples)};
 }
 
-double BelievedSpeed::median(net::TimePoint now, int& samples) const {
+double SpeedEstimate::median(net::TimePoint now, int& samples) const {
   std::vector<double> speeds;
   for (const auto& reading : readings_) {
     if (reading.figure.samples == 0) continue;
@@ -43,7 +43,7 @@
   return (speeds[half - 1] + speeds[half]) / 2;
 }
 
-void BelievedSpeed::take(const SpeedFigure& own, const SpeedFigure& told, net::TimePoint now) {
+void SpeedEstimate::take(const SpeedReport& own, const SpeedReport& told, net::TimePoint now) {
   if (now < taken_at_ + kSpeedReading) return;
   taken_at_ = now;
   readings_.at(next_) = {merged(own, told), now};
--- a/src/balancing/believed_speed.hpp
+++ b/src/balancing/believed_speed.hpp
@@ -12,16 +12,16 @@
 /// stays where it is, one that turns slow is seen within three seconds. A mean that fades over as
 /// long believed 0.45 of an engine that is 2.5 times slower for 0.6 s in every 4 s (12 nodes in
 /// virtual time), and sent its work around. Deterministic, not thread-safe.
-class BelievedSpeed {
+class SpeedEstimate {
  public:
   /// Takes over what is known now; more often than the span of a reading it changes nothing.
-  void take(const SpeedFigure& own, const SpeedFigure& told, net::TimePoint now);
+  void take(const SpeedReport& own, const SpeedReport& told, net::TimePoint now);
   /// Over the usual engine's of the service; 1 when nobody used the engine of late.
   double value() const { return value_; }
 
  private:
   struct Reading {
-    SpeedFigure figure;
+    SpeedReport figure;
     net::TimePoint at{};
   };
   static constexpr std::size_t kReadings = 7;
@@ -35,6 +35,6 @@
 };
 
 /// Mean of a node's own samples and those of the others, within the bounds of speed.
-SpeedFigure merged(const SpeedFigure& own, const SpeedFigure& told);
+SpeedReport merged(const SpeedReport& own, const SpeedReport& told);
 
 }  // namespace sailgate::balancing
--- a/src/balancing/engine.hpp
+++ b/src/balancing/engine.hpp
@@ -23,7 +23,7 @@
   int slots = 1;
   bool draining = false;
 
-  const std::string& place() const { return name.empty() ? id : name; }
+  const std::string& entry_key() const { return name.empty() ? id : name; }
 };
 
 /// Names a run of an engine. Nodes that read the same entry give the same name, and a start that
@@ -42,11 +42,11 @@
   int consecutive_failures = 0;  ///< since the last good answer
   net::TimePoint failed_at{};    ///< the last of them
   net::TimePoint answered_at{};  ///< the last good answer to this node
-  bool left_to_probe = false;    ///< fails for many nodes: another node tries it for all
+  bool awaiting_probe = false;   ///< fails for many nodes: another node tries it for all
   bool zone_silent = false;      ///< nothing of its zone is heard: other engines come first
   net::TimePoint avoid_until{};  ///< after a refusal or failure: other engines come first
   EngineSpeed own_speed;         ///< as this node's exchanges tell
-  BelievedSpeed told_speed;      ///< as all nodes tell
+  SpeedEstimate speed_estimate;  ///< as all nodes tell
   double speed = 1;              ///< over the usual engine's of the service; the choice's input
   SpeedStep speed_step;          ///< of `speed`, for the log
   bool leaving = false;          ///< said so itself, or its entry is gone: no new requests
--- a/src/balancing/engine_registry.cpp
+++ b/src/balancing/engine_registry.cpp
@@ -8,9 +8,9 @@
 
 void EngineRegistry::put(EngineRecord record) {
   if (has_ended(record.id)) return;
-  const auto place = record.place();
-  lapsed_.erase(place);
-  const auto known = at(place);
+  const auto entry_key = record.entry_key();
+  stale_.erase(entry_key);
+  const auto known = at(entry_key);
   const bool restarted = known != nullptr && known->record.id != record.id;
   if (restarted) {
     if (on_restart_) on_restart_(*known, record);
@@ -19,7 +19,7 @@
   if (known == nullptr || restarted) {
     auto engine = std::make_shared<Engine>();
     engine->record = std::move(record);
-    by_place_[place] = engine;
+    by_entry_key_[entry_key] = engine;
     by_id_[engine->record.id] = engine;
     by_service_[engine->record.service].push_back(engine);
     return;
@@ -30,7 +30,7 @@
   record.draining = record.draining || known->record.draining;
   record.service = known->record.service;
   known->record = std::move(record);
-  if (was_usable && !known->usable() && on_leaving_) on_leaving_(*known);
+  if (was_usable && !known->usable() && on_unusable_) on_unusable_(*known);
 }
 
 void EngineRegistry::take_out(const EnginePointer& engine) {
@@ -39,8 +39,8 @@
   auto& service = by_service_[engine->record.service];
   service.erase(std::remove(service.begin(), service.end(), engine), service.end());
   by_id_.erase(engine->record.id);
-  by_place_.erase(engine->record.place());
-  if (was_usable && on_leaving_) on_leaving_(*engine);
+  by_entry_key_.erase(engine->record.entry_key());
+  if (was_usable && on_unusable_) on_unusable_(*engine);
 }
 
 void EngineRegistry::end_run(const EnginePointer& engine) {
@@ -53,41 +53,41 @@
   take_out(engine);
 }
 
-void EngineRegistry::remove(const std::string& place) {
-  lapsed_.erase(place);
-  if (const auto engine = at(place)) take_out(engine);
+void EngineRegistry::remove(const std::string& entry_key) {
+  stale_.erase(entry_key);
+  if (const auto engine = at(entry_key)) take_out(engine);
 }
 
-void EngineRegistry::lapse(const std::string& place) {
-  if (by_place_.count(place) > 0) lapsed_.insert(place);
+void EngineRegistry::mark_stale(const std::string& entry_key) {
+  if (by_entry_key_.count(entry_key) > 0) stale_.insert(entry_key);
 }
 
-void EngineRegistry::suspend(const std::string& place) {
-  lapsed_.erase(place);
-  if (const auto engine = at(place)) engine->entry_unusable = true;
+void EngineRegistry::suspend(const std::string& entry_key) {
+  stale_.erase(entry_key);
+  if (const auto engine = at(entry_key)) engine->entry_unusable = true;
 }
 
-void EngineRegistry::remove_lapsed() {
-  const auto gone = std::exchange(lapsed_, {});
-  for (const auto& place : gone) remove(place);
+void EngineRegistry::remove_stale() {
+  const auto gone = std::exchange(stale_, {});
+  for (const auto& entry_key : gone) remove(entry_key);
 }
 
-void EngineRegistry::replace(std::vector<EngineRecord> records, Absent absent,
+void EngineRegistry::replace(std::vector<EngineRecord> records, AbsentPolicy absent,
                              const std::vector<std::string>& suspended) {
   std::unordered_set<std::string> listed(suspended.begin(), suspended.end());
-  for (const auto& record : records) listed.insert(record.place());
+  for (const auto& record : records) listed.insert(record.entry_key());
   std::vector<std::string> unlisted;
-  for (const auto& [place, engine] : by_place_) {
-    if (listed.count(place) == 0) unlisted.push_back(place);
+  for (const auto& [entry_key, engine] : by_entry_key_) {
+    if (listed.count(entry_key) == 0) unlisted.push_back(entry_key);
   }
-  for (const auto& place : unlisted) {
-    if (absent == Absent::kLapsed) {
-      lapse(place);
+  for (const auto& entry_key : unlisted) {
+    if (absent == AbsentPolicy::kMarkStale) {
+      mark_stale(entry_key);
     } else {
-      remove(place);
+      remove(entry_key);
     }
   }
-  for (const auto& place : suspended) suspend(place);
+  for (const auto& entry_key : suspended) suspend(entry_key);
   for (auto& record : records) put(std::move(record));
 }
 
@@ -96,9 +96,9 @@
   return entry == by_id_.end() ? nullptr : entry->second;
 }
 
-EnginePointer EngineRegistry::at(const std::string& place) const {
-  const auto entry = by_place_.find(place);
-  return entry == by_place_.end() ? nullptr : entry->second;
+EnginePointer EngineRegistry::at(const std::string& entry_key) const {
+  const auto entry = by_entry_key_.find(entry_key);
+  return entry == by_entry_key_.end() ? nullptr : entry->second;
 }
 
 std::vector<EnginePointer> EngineRegistry::all() const {
--- a/src/balancing/engine_selector.cpp
+++ b/src/balancing/engine_selector.cpp
@@ -83,7 +83,7 @@
 }
 
 bool avoided(const Engine& engine, const SelectionQuery& query) {
-  return engine.left_to_probe || engine.zone_silent || query.now < engine.avoid_until;
+  return engine.awaiting_probe || engine.zone_silent || query.now < engine.avoid_until;
 }
 
 /// With a key connections don't count: moving a program means reading its prompt anew.
@@ -133,8 +133,8 @@
 }
 
 /// Whether a line's next turns end sooner at the other engine, its prompt read anew there.
-bool worth_moving(const Engine& from, const Engine& to, double turn_over_reading) {
-  const double gain = kTurnsLeft * turn_over_reading * (turn_time(from) - turn_time(to));
+bool worth_moving(const Engine& from, const Engine& to, double turn_to_prefill_ratio) {
+  const double gain = kTurnsLeft * turn_to_prefill_ratio * (turn_time(from) - turn_time(to));
   return gain > kGainOverReading / to.speed;
 }
 
@@ -156,14 +156,14 @@
   const double mean = mean_load(engines);
   auto stay = engine_to_stay_at(registry, query, mean);
   const bool slow = stay != nullptr && stay->speed <= kTurnedSlow;
-  const bool may_move = slow && query.turn_over_reading > 0;
+  const bool may_move = slow && query.turn_to_prefill_ratio > 0;
   if (stay != nullptr && !may_move) return stay;
   const EnginePointer* best = nullptr;
   Rank best_rank{};
   const double saturation = std::max(kSaturation, kSaturationOverMean * mean);
   for (const auto& engine : engines) {
     if (!engine->usable() || excluded(query, *engine)) continue;
-    if (may_move && !worth_moving(*stay, *engine, query.turn_over_reading)) continue;
+    if (may_move && !worth_moving(*stay, *engine, query.turn_to_prefill_ratio)) continue;
     const auto candidate = rank(*engine, query, saturation);
     if (best != nullptr && best_rank < candidate) continue;
     // Only among equals does the hash of the engine's name matter.
--- a/src/balancing/engine_selector.hpp
+++ b/src/balancing/engine_selector.hpp
@@ -14,10 +14,10 @@
   std::string service;
   std::string line_engine;  ///< has the whole prompt cached but for the new input; empty: none
   /// Usual time of a turn over that in which its prompt is read anew; 0: lines stay, however slow.
-  double turn_over_reading = 0;
+  double turn_to_prefill_ratio = 0;
   std::string affinity_key;  ///< requests with the same key share long prompts; empty: none
-  const PromptPlaces* prompt = nullptr;  ///< engines that keep the first part; nullptr: not known
-  std::string zone;                      ///< of this node
+  const PromptReplicas* prompt = nullptr;  ///< engines that keep the first part; nullptr: not known
+  std::string zone;                        ///< of this node
   net::TimePoint now;
   std::uint64_t draw = 0;             ///< random tie-break
   std::vector<std::string> excluded;  ///< engines this request was already offered to
--- a/src/balancing/engine_speed.cpp
+++ b/src/balancing/engine_speed.cpp
@@ -12,7 +12,7 @@
 constexpr double kFadeMillis = static_cast<double>(kSpeedReading.count());
 constexpr double kPermille = 1000;
 /// One exchange says no more than the bounds of speed: one that hangs is no measure of the engine.
-const double kMostSlowness = std::log(kPermille / kLeastPermille);
+const double kMostSlowness = std::log(kPermille / kMinPermille);
 
 }  // namespace
 
@@ -28,12 +28,12 @@
   noted_at_ = std::max(noted_at_, now);
 }
 
-SpeedFigure EngineSpeed::figure(net::TimePoint now) const {
-  SpeedFigure figure;
+SpeedReport EngineSpeed::figure(net::TimePoint now) const {
+  SpeedReport figure;
   figure.samples = static_cast<int>(std::lround(weight_ * kept(now)));
   if (figure.samples == 0) return figure;
   const double speed = kPermille * std::exp(-slowness_ / weight_);
-  figure.permille = std::clamp(static_cast<int>(std::lround(speed)), kLeastPermille, kMostPermille);
+  figure.permille = std::clamp(static_cast<int>(std::lround(speed)), kMinPermille, kMaxPermille);
   return figure;
 }
 
--- a/src/balancing/engine_speed.hpp
+++ b/src/balancing/engine_speed.hpp
@@ -14,18 +14,18 @@
 namespace sailgate::balancing {
 
 /// A speed with the exchanges behind it, as nodes tell it each other.
-struct SpeedFigure {
+struct SpeedReport {
   int permille = 1000;  ///< of the usual engine's speed
   int samples = 0;
 };
 
 /// Believed speeds are bounded, so that wrong news neither starves an engine nor sends it all work:
 /// a slow engine gets enough to be seen mending.
-inline constexpr int kLeastPermille = 250;
-inline constexpr int kMostPermille = 4000;
+inline constexpr int kMinPermille = 250;
+inline constexpr int kMaxPermille = 4000;
 /// Samples behind one told speed that count: what the nodes of a zone may have. More would let one
 /// wrong message outweigh all others.
-inline constexpr int kMostSamples = 1000;
+inline constexpr int kMaxSamples = 1000;
 /// Span of one reading of an engine's speed, in which exchanges fade to 1/e: some of them are in it
 /// over all nodes, and a slow half second is in two readings at most.
 inline constexpr net::Millis kSpeedReading{700};
@@ -36,7 +36,7 @@
   /// An exchange ended. @param slowness natural logarithm of its time over the usual time for it.
   void add(double slowness, net::TimePoint now);
   /// Without samples of late the engine counts as usual.
-  SpeedFigure figure(net::TimePoint now) const;
+  SpeedReport figure(net::TimePoint now) const;
 
  private:
   /// Part of what was known that is still worth something.
--- a/src/balancing/exchange_times.cpp
+++ b/src/balancing/exchange_times.cpp
@@ -15,13 +15,13 @@
 
 }  // namespace
 
-int LoadedTime::level_of(const Engine& engine) {
+int LoadAdjustedTime::level_of(const Engine& engine) {
   const int requests = engine.in_flight + engine.peer_in_flight;
   const int slots = std::max(engine.record.slots, 1);
   return std::clamp(requests * kLevelsPerSlots / slots, 0, kLevels - 1);
 }
 
-double LoadedTime::add(double milliseconds, const Engine& engine) {
+double LoadAdjustedTime::add(double milliseconds, const Engine& engine) {
   if (!(milliseconds > 0)) return 0;
   auto& added = added_.at(static_cast<std::size_t>(level_of(engine)));
   const bool known = usual_.known();
@@ -33,18 +33,18 @@
   return slowness;
 }
 
-void ExchangeTimes::note_stream(Engine& engine, const StreamTimes& times, net::TimePoint now) {
+void ExchangeTimes::record_stream(Engine& engine, const StreamTimes& times, net::TimePoint now) {
   auto& service = services_[engine.record.service];
-  (times.prompt_kept ? service.first_kept : service.first_anew).add(times.first_ms);
-  if (times.prompt_kept) service.turn_kept.add(times.whole_ms);
-  if (times.event_ms <= 0) return;
+  (times.prompt_cached ? service.first_kept : service.first_anew).add(times.first_event_ms);
+  if (times.prompt_cached) service.turn_kept.add(times.total_ms);
+  if (times.mean_event_gap_ms <= 0) return;
   const bool known = service.events.usual().known();
-  const double slowness = service.events.add(times.event_ms, engine);
+  const double slowness = service.events.add(times.mean_event_gap_ms, engine);
   if (known) engine.own_speed.add(slowness, now);
 }
 
-void ExchangeTimes::note_plain(Engine& engine, const std::string& route, double milliseconds,
-                               net::TimePoint now) {
+void ExchangeTimes::record_plain_call(Engine& engine, const std::string& route, double milliseconds,
+                                      net::TimePoint now) {
   auto& routes = services_[engine.record.service].routes;
   if (routes.count(route) == 0 && routes.size() >= kMostRoutes) return;
   auto& times = routes[route];
@@ -53,7 +53,7 @@
   if (known) engine.own_speed.add(slowness, now);
 }
 
-double ExchangeTimes::turn_over_reading(const std::string& service) const {
+double ExchangeTimes::turn_to_prefill_ratio(const std::string& service) const {
   const auto entry = services_.find(service);
   if (entry == services_.end()) return 0;
   const auto& times = entry->second;
--- a/src/balancing/exchange_times.hpp
+++ b/src/balancing/exchange_times.hpp
@@ -12,21 +12,21 @@
 
 /// One stream that an engine ran whole.
 struct StreamTimes {
-  double first_ms = 0;       ///< from the sending to the first event
-  double event_ms = 0;       ///< between events; 0: not known
-  double whole_ms = 0;       ///< from the sending to the end
-  bool prompt_kept = false;  ///< the engine ran the line's last turn
+  double first_event_ms = 0;     ///< from the sending to the first event
+  double mean_event_gap_ms = 0;  ///< between events; 0: not known
+  double total_ms = 0;           ///< from the sending to the end
+  bool prompt_cached = false;    ///< the engine ran the line's last turn
 };
 
 /// Time of like exchanges over all engines of a service. Engines that work in batches take longer
 /// for each step the more requests they run, so the time is what is usual, what that many requests
 /// add, and what the engine is: only the last is its speed. Deterministic, not thread-safe.
-class LoadedTime {
+class LoadAdjustedTime {
  public:
   /// @return natural logarithm of the sample over the usual time for such a load: the engine's
   /// slowness; 0 while the usual time is not known.
   double add(double milliseconds, const Engine& engine);
-  const UsualTime& usual() const { return usual_; }
+  const RunningMedian& usual() const { return usual_; }
 
  private:
   /// Loads by quarters of the slots, to twice the slots.
@@ -34,7 +34,7 @@
   static constexpr int kLevels = 2 * kLevelsPerSlots + 1;
   static int level_of(const Engine& engine);
 
-  UsualTime usual_;
+  RunningMedian usual_;
   std::array<double, kLevels> added_{};  ///< by the load, natural logarithm
 };
 
@@ -42,21 +42,21 @@
 /// Deterministic, not thread-safe.
 class ExchangeTimes {
  public:
-  void note_stream(Engine& engine, const StreamTimes& times, net::TimePoint now);
+  void record_stream(Engine& engine, const StreamTimes& times, net::TimePoint now);
   /// An answer that was passed on whole. @param route requests of a route are alike.
-  void note_plain(Engine& engine, const std::string& route, double milliseconds,
-                  net::TimePoint now);
+  void record_plain_call(Engine& engine, const std::string& route, double milliseconds,
+                         net::TimePoint now);
   /// Time of a turn over the time in which its prompt is read anew, at the usual engine; 0: not
   /// known.
-  double turn_over_reading(const std::string& service) const;
+  double turn_to_prefill_ratio(const std::string& service) const;
 
  private:
   struct Service {
-    LoadedTime events;
-    UsualTime first_kept;
-    UsualTime first_anew;
-    UsualTime turn_kept;
-    std::map<std::string, LoadedTime> routes;
+    LoadAdjustedTime events;
+    RunningMedian first_kept;
+    RunningMedian first_anew;
+    RunningMedian turn_kept;
+    std::map<std::string, LoadAdjustedTime> routes;
   };
 
   /// Configurations may grow by many routes; the usual times of so many of a service are kept.
--- a/src/balancing/prompt_placement.cpp
+++ b/src/balancing/prompt_placement.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Prompts an engine keeps on average; see prompts_an_engine().
+/// Prompts an engine keeps on average; see prompts_per_engine().
 constexpr double kMostPromptsAnEngine = 3.0;
 /// Share of an engine's memory for shared prompts: the rest is for the lines that run there.
 constexpr double kMemoryForPrompts = 0.5;
@@ -116,9 +116,9 @@
   }
 }
 
-PromptPlaces::Engines PromptPlacement::take(Order zones, int wanted, int bound, Copies& copies) {
+PromptReplicas::Engines PromptPlacement::take(Order zones, int wanted, int bound, Copies& copies) {
   share_out(zones, wanted);
-  PromptPlaces::Engines taken;
+  PromptReplicas::Engines taken;
   for (const auto& zone : zones) {
     // Where too few are below the bound it is raised.
     int most = bound;
@@ -128,7 +128,7 @@
 }
 
 bool PromptPlacement::take_of_zone(const OrderedZone& zone, int most, Copies& copies,
-                                   PromptPlaces::Engines& taken) {
+                                   PromptReplicas::Engines& taken) {
   const auto holds = [&](const std::string* id) { return taken.count(*id) > 0; };
   const auto held = std::count_if(zone.engines.begin(), zone.engines.end(), holds);
   auto left = zone.wanted - static_cast<int>(held);
@@ -142,7 +142,7 @@
   return left <= 0;
 }
 
-double prompts_an_engine(std::int64_t memory_tokens, double prompt_tokens) {
+double prompts_per_engine(std::int64_t memory_tokens, double prompt_tokens) {
   if (memory_tokens <= 0 || prompt_tokens <= 0) return kMostPromptsAnEngine;
   const double room = kMemoryForPrompts * static_cast<double>(memory_tokens) / prompt_tokens;
   return std::clamp(room, 1.0, kMostPromptsAnEngine);
@@ -165,16 +165,16 @@
   return std::clamp(static_cast<int>(std::lround(wanted)), std::min(kLeastEngines, most), most);
 }
 
-std::vector<PlacesChange> PromptPlacement::update(const PromptCounts& counts,
-                                                  const std::vector<EnginePointer>& engines,
-                                                  double prompts_an_engine) {
+std::vector<ReplicaCountChange> PromptPlacement::update(const PromptCounts& counts,
+                                                        const std::vector<EnginePointer>& engines,
+                                                        double prompts_per_engine) {
   const auto counted = most_frequent(counts);
   const auto usable = usable_engines(engines);
-  prompts_an_engine_ = prompts_an_engine;
+  prompts_an_engine_ = prompts_per_engine;
   counted_prompts_ = counted.size();
   all_requests_ = 0;
   for (const auto& [key, requests] : counted) all_requests_ += requests;
-  std::vector<PlacesChange> changes;
+  std::vector<ReplicaCountChange> changes;
   std::map<std::int32_t, int> now_wanted;
   for (const auto& [key, requests] : counted) {
     const auto known = engines_wanted_.find(key);
@@ -203,24 +203,24 @@
   const int bound = std::max(static_cast<int>(kCopiesOverMean * mean), 1);
   Copies taken;
   for (const auto& [key, count] : engines_wanted_) {
-    auto& places = places_[key];
-    places.order_key = order_key(key);
-    places.engines = take(order(places.order_key, engines), count, bound, taken);
+    auto& replicas = places_[key];
+    replicas.order_key = order_key(key);
+    replicas.engines = take(order(replicas.order_key, engines), count, bound, taken);
   }
 }
 
-const PromptPlaces& PromptPlacement::places(std::int32_t prompt,
-                                            const std::vector<EnginePointer>& engines) {
+const PromptReplicas& PromptPlacement::replicas(std::int32_t prompt,
+                                                const std::vector<EnginePointer>& engines) {
   const auto known = places_.find(prompt);
   if (known != places_.end()) return known->second;
   if (places_.size() >= 2 * kMostPrompts) place_all(engines);
-  auto& places = places_[prompt];
+  auto& replicas = places_[prompt];
   const auto usable = usable_engines(engines);
   const int count = bounded(wanted(0, usable), usable);
-  places.order_key = order_key(prompt);
+  replicas.order_key = order_key(prompt);
   Copies copies;
-  places.engines = take(order(places.order_key, engines), count, 1, copies);
-  return places;
+  replicas.engines = take(order(replicas.order_key, engines), count, 1, copies);
+  return replicas;
 }
 
 }  // namespace sailgate::balancing
--- a/src/balancing/prompt_placement.hpp
+++ b/src/balancing/prompt_placement.hpp
@@ -18,7 +18,7 @@
 namespace sailgate::balancing {
 
 /// Engines of one shared prompt.
-struct PromptPlaces {
+struct PromptReplicas {
   using Engines = std::unordered_set<std::string>;
 
   std::string order_key;  ///< of the rendezvous order in which other engines come next
@@ -28,7 +28,7 @@
 };
 
 /// The number of engines of a prompt changed.
-struct PlacesChange {
+struct ReplicaCountChange {
   std::int32_t prompt = 0;
   int before = 0;  ///< 0: the prompt is new
   int after = 0;   ///< 0: nobody asks for it any more
@@ -40,7 +40,7 @@
 /// zone and a few for the prompts in demand, so that the load of an engine is that of several
 /// prompts. @param memory_tokens of an engine, @param prompt_tokens mean of the prompts; 0:
 /// unknown.
-double prompts_an_engine(std::int64_t memory_tokens, double prompt_tokens);
+double prompts_per_engine(std::int64_t memory_tokens, double prompt_tokens);
 
 /// Places of the prompts of one service: a function of the counts, the engines and the numbers of
 /// engines before, which settle to within one engine whatever they were. Deterministic, not
@@ -49,12 +49,12 @@
  public:
   /// Takes over what is asked for and which engines there are.
   /// @param counts of the service's prompts, over all nodes.
-  std::vector<PlacesChange> update(const PromptCounts& counts,
-                                   const std::vector<EnginePointer>& engines,
-                                   double prompts_an_engine);
+  std::vector<ReplicaCountChange> update(const PromptCounts& counts,
+                                         const std::vector<EnginePointer>& engines,
+                                         double prompts_per_engine);
 
   /// Places of a prompt; one that was not counted yet gets an equal share of the engines.
-  const PromptPlaces& places(std::int32_t prompt, const std::vector<EnginePointer>& engines);
+  const PromptReplicas& replicas(std::int32_t prompt, const std::vector<EnginePointer>& engines);
 
   std::size_t prompts() const { return engines_wanted_.size(); }
   /// Sum over the prompts.
@@ -75,10 +75,10 @@
   /// Zones take turns, by their sizes: a prompt with a few engines has some in each zone.
   static void share_out(Order& zones, int wanted);
   /// The first so many engines of the order that keep fewer prompts than the bound.
-  static PromptPlaces::Engines take(Order zones, int wanted, int bound, Copies& copies);
+  static PromptReplicas::Engines take(Order zones, int wanted, int bound, Copies& copies);
   /// Adds engines of a zone that keep fewer than `most` prompts. @return whether these are enough.
   static bool take_of_zone(const OrderedZone& zone, int most, Copies& copies,
-                           PromptPlaces::Engines& taken);
+                           PromptReplicas::Engines& taken);
   /// Share of all copies, from the requests that were counted.
   double wanted(std::int32_t requests, std::size_t engines) const;
   int bounded(double wanted, std::size_t engines) const;
@@ -90,7 +90,7 @@
   std::size_t engines_ = 0;  ///< usable ones at the last update
   std::uint64_t engines_digest_ = 0;
   std::map<std::int32_t, int> engines_wanted_;  ///< of each prompt that was counted
-  std::map<std::int32_t, PromptPlaces> places_;
+  std::map<std::int32_t, PromptReplicas> places_;
 };
 
 }  // namespace sailgate::balancing
--- a/src/balancing/unusable_entry.hpp
+++ b/src/balancing/unusable_entry.hpp
@@ -13,7 +13,7 @@
   kFieldMistyped,  ///< a field is of another type, or outside its range
   kUnknownState,
   kNoAddress,     ///< the address cannot be read
-  kStartNotTold,  ///< the other engines tell their starts
+  kStartMissing,  ///< the other engines tell their starts
 };
 
 /// Stable name, for logs.
@@ -29,7 +29,7 @@
       return "unknown_state";
     case EntryFault::kNoAddress:
       return "no_address";
-    case EntryFault::kStartNotTold:
+    case EntryFault::kStartMissing:
       return "start_not_told";
   }
   return "";
--- a/src/balancing/usual_time.hpp
+++ b/src/balancing/usual_time.hpp
@@ -8,7 +8,7 @@
 
 /// Running median of times: a step up or down a sample, whatever its size, so that a few exchanges
 /// that hang do not change what is usual. Deterministic, not thread-safe.
-class UsualTime {
+class RunningMedian {
  public:
   /// @param milliseconds more than 0; others tell nothing and are left out.
   void add(double milliseconds) {
--- a/src/balancing/zone_reach.cpp
+++ b/src/balancing/zone_reach.cpp
@@ -19,22 +19,22 @@
 
 }  // namespace
 
-void ZoneReach::note_sign(const std::string& zone, net::TimePoint at) {
+void ZoneReachability::record_contact(const std::string& zone, net::TimePoint at) {
   auto& known = zones_[zone];
   known.newest_sign = std::max(known.newest_sign, at);
 }
 
-net::Millis ZoneReach::silent_for(const std::string& zone, net::TimePoint now) const {
+net::Millis ZoneReachability::silent_for(const std::string& zone, net::TimePoint now) const {
   const auto known = zones_.find(zone);
   if (known == zones_.end()) return net::Millis(0);
   return std::chrono::duration_cast<net::Millis>(now - known->second.newest_sign);
 }
 
-bool ZoneReach::reachable(const std::string& zone, net::TimePoint now) const {
+bool ZoneReachability::reachable(const std::string& zone, net::TimePoint now) const {
   return silent_for(zone, now) < kSilence;
 }
 
-bool ZoneReach::should_try(const std::string& zone, net::TimePoint now) {
+bool ZoneReachability::should_probe(const std::string& zone, net::TimePoint now) {
   const auto known = zones_.find(zone);
   if (known == zones_.end() || now < known->second.newest_sign + kDoubt) return false;
   auto& tried_at = known->second.tried_at;
--- a/src/balancing/zone_reach.hpp
+++ b/src/balancing/zone_reach.hpp
@@ -13,17 +13,17 @@
 
 /// Signs are news of the zone's nodes, answers of its engines and connections that came up there.
 /// Deterministic, not thread-safe.
-class ZoneReach {
+class ZoneReachability {
  public:
   /// Something of the zone was heard at that time.
-  void note_sign(const std::string& zone, net::TimePoint at);
+  void record_contact(const std::string& zone, net::TimePoint at);
   /// False when a zone that was heard has been silent for a while. Its engines come last then; they
   /// are not given up, since all its nodes may be down while its engines are well.
   bool reachable(const std::string& zone, net::TimePoint now) const;
   /// Time since the last sign of a zone; 0 for one that was never heard.
   net::Millis silent_for(const std::string& zone, net::TimePoint now) const;
   /// Whether to try a connection to one of its engines now. Each answer of true counts as a try.
-  bool should_try(const std::string& zone, net::TimePoint now);
+  bool should_probe(const std::string& zone, net::TimePoint now);
 
  private:
   struct Zone {
--- a/src/cluster/told_figures.cpp
+++ b/src/cluster/told_figures.cpp
@@ -31,9 +31,9 @@
   for (const auto& [engine, speed] : speeds) {
     if (speed.samples <= 0) continue;
     auto& mean = sum[engine];
-    const auto samples = std::min(speed.samples, balancing::kMostSamples);
+    const auto samples = std::min(speed.samples, balancing::kMaxSamples);
     const std::int64_t permille =
-        std::clamp(speed.permille, balancing::kLeastPermille, balancing::kMostPermille);
+        std::clamp(speed.permille, balancing::kMinPermille, balancing::kMaxPermille);
     const std::int64_t weighted = std::int64_t{mean.permille} * mean.samples + permille * samples;
     mean.samples += samples;
     mean.permille = static_cast<std::int32_t>(weighted / mean.samples);
--- a/src/serving/dispatcher.cpp
+++ b/src/serving/dispatcher.cpp
@@ -132,7 +132,7 @@
   auto request = std::make_shared<net::TextRequest>(call.request.base());
   remove_hop_fields(*request);
   DispatchDirectives directives;
-  directives.expected_instance = engine.record.place();
+  directives.expected_instance = engine.record.entry_key();
   directives.deadline = std::max(call.time_left() - kDeadlineMargin, net::Millis(1));
   directives.priority = call.priority();
   directives.tenant = call.tenant_name();
@@ -179,7 +179,7 @@
   }
   query.line_engine = call.line_engine;
   if (state_.settings.mechanisms.speeds) {
-    query.turn_over_reading = state_.exchange_times.turn_over_reading(call.service);
+    query.turn_to_prefill_ratio = state_.exchange_times.turn_to_prefill_ratio(call.service);
   }
   query.zone = state_.settings.zone;
   // Without avoidance no engine is avoided any more.
@@ -189,7 +189,7 @@
   return balancing::select_engine(state_.engines, query);
 }
 
-const balancing::PromptPlaces* Dispatcher::prompt_places(const Call& call) {
+const balancing::PromptReplicas* Dispatcher::prompt_places(const Call& call) {
   const auto& description = call.description;
   if (!state_.settings.mechanisms.prompts || description.shared_prefix.empty()) return nullptr;
   if (description.prompt_tokens < kLongPrompt) return nullptr;
@@ -199,12 +199,12 @@
   }
   const auto placement = state_.prompt_placements.find(call.service);
   if (placement == state_.prompt_placements.end()) return nullptr;
-  return &placement->second.places(prompt, state_.engines.of_service(call.service));
+  return &placement->second.replicas(prompt, state_.engines.of_service(call.service));
 }
 
 void Dispatcher::log_offer(const Call& call, const EngineExchange& exchange, const char* outcome) {
   const auto& engine = exchange.engine();
-  const auto* places = prompt_places(call);
+  const auto* replicas = prompt_places(call);
   state_.log.event("offer")
       .with("id", call.description.request_id)
       .with("engine", engine.record.id)
@@ -214,7 +214,7 @@
       .with("speed", engine.speed)
       .with("line_engine", call.line_engine)
       .with("keeps_prompt",
-            places == nullptr ? -1 : static_cast<int>(places->hold(engine.record.id)))
+            replicas == nullptr ? -1 : static_cast<int>(replicas->hold(engine.record.id)))
       .with("kept_connection", static_cast<int>(exchange.on_kept_connection()))
       .with("outcome", outcome)
       .with("elapsed_ms", call.elapsed().count());
--- a/src/serving/dispatcher.hpp
+++ b/src/serving/dispatcher.hpp
@@ -54,7 +54,7 @@
                                                          const std::string& last_event_id) const;
   balancing::EnginePointer select(Call& call);
   /// Places of the long prompt's first part; nullptr: it shares none, or placing is switched off.
-  const balancing::PromptPlaces* prompt_places(const Call& call);
+  const balancing::PromptReplicas* prompt_places(const Call& call);
   /// The engine that the attempt is bound to, if it can still be asked; see AttemptBound.
   balancing::EnginePointer required_engine(const std::string& id);
   /// Keeps up which engines may still be working on the attempt.
--- a/src/serving/engine_entries.cpp
+++ b/src/serving/engine_entries.cpp
@@ -26,7 +26,7 @@
                                 const balancing::EngineRecord& now) {
   state_.metrics.engine_restarted();
   state_.log.event("engine_restarted")
-      .with("engine", now.place())
+      .with("engine", now.entry_key())
       .with("run", now.id)
       .with("run_before", before.record.id)
       .with("in_flight", before.in_flight)
@@ -95,17 +95,17 @@
   std::vector<balancing::EngineRecord> engines;
   for (std::size_t i = 0; i < readable.size(); ++i) {
     if (told && !readable[i].started_ms) {
-      note_unusable(*sources[i], EntryFault::kStartNotTold, "");
+      note_unusable(*sources[i], EntryFault::kStartMissing, "");
       continue;
     }
-    unusable_.erase(readable[i].place());
+    unusable_.erase(readable[i].entry_key());
     engines.push_back(std::move(readable[i]));
   }
   std::vector<std::string> suspended;
   for (const auto& [key, fault] : unusable_) suspended.push_back(key);
-  using Absent = balancing::EngineRegistry::Absent;
-  state_.engines.replace(std::move(engines), may_return ? Absent::kLapsed : Absent::kRemoved,
-                         suspended);
+  using AbsentPolicy = balancing::EngineRegistry::AbsentPolicy;
+  state_.engines.replace(std::move(engines),
+                         may_return ? AbsentPolicy::kMarkStale : AbsentPolicy::kRemove, suspended);
   state_.engines_known = true;
   state_.metrics.set_unusable_entries(unusable_.size());
   state_.log.event("engines_read")
@@ -123,7 +123,7 @@
   state_.log.event("engine_entry_lapsed")
       .with("engine", row.id.key)
       .with("row_version", row.version);
-  state_.engines.lapse(row.id.key);
+  state_.engines.mark_stale(row.id.key);
 }
 
 void EngineEntries::take_change(const store::Row& row, bool may_return) {
@@ -133,7 +133,7 @@
   }
   auto record = read(row);
   if (record && !record->started_ms && starts_are_told()) {
-    note_unusable(row, EntryFault::kStartNotTold, "");
+    note_unusable(row, EntryFault::kStartMissing, "");
     record.reset();
   }
   if (!record) {
--- a/src/serving/engine_picture.cpp
+++ b/src/serving/engine_picture.cpp
@@ -36,14 +36,14 @@
   speeds_taken_at_ = now;
   const auto told = state_.peers.figures(now, state_.beacons.silence_limit()).speeds;
   const auto engines = state_.engines.all();
-  double slowest = balancing::kMostPermille / kPermille;
+  double slowest = balancing::kMaxPermille / kPermille;
   double fastest = 0;
   for (const auto& engine : engines) {
     const auto entry = told.find(cluster::engine_key(engine->record.id));
-    balancing::SpeedFigure others;
+    balancing::SpeedReport others;
     if (entry != told.end()) others = {entry->second.permille, entry->second.samples};
-    engine->told_speed.take(engine->own_speed.figure(now), others, now);
-    engine->speed = engine->told_speed.value();
+    engine->speed_estimate.take(engine->own_speed.figure(now), others, now);
+    engine->speed = engine->speed_estimate.value();
     slowest = std::min(slowest, engine->speed);
     fastest = std::max(fastest, engine->speed);
     log_speed(*engine, others, now);
@@ -51,7 +51,7 @@
   if (!engines.empty()) state_.metrics.set_engine_speeds(slowest, fastest);
 }
 
-void EnginePicture::log_speed(balancing::Engine& engine, const balancing::SpeedFigure& told,
+void EnginePicture::log_speed(balancing::Engine& engine, const balancing::SpeedReport& told,
                               net::TimePoint now) {
   const auto before = engine.speed_step.value();
   if (!engine.speed_step.moved(engine.speed, now)) return;
@@ -75,9 +75,9 @@
     const int told = failures.at(id);
     const bool suspect = told > 0 || balancing::failed_lately(*engine, now);
     const bool tries = suspect && !state_.peers.home(id, now, silence).has_value();
-    const bool left = suspect && balancing::leaves_to_probe(*engine, told, tries, now);
-    if (left == engine->left_to_probe) continue;
-    engine->left_to_probe = left;
+    const bool left = suspect && balancing::should_await_probe(*engine, told, tries, now);
+    if (left == engine->awaiting_probe) continue;
+    engine->awaiting_probe = left;
     state_.log.event(left ? "engine_left_to_probe" : "engine_used_again")
         .with("engine", id)
         .with("own_failures", engine->consecutive_failures)
@@ -101,7 +101,7 @@
     auto& placement = state_.prompt_placements[service.name];
     const auto changes =
         placement.update(of_service, state_.engines.of_service(service.name),
-                         balancing::prompts_an_engine(service.engine_memory_tokens, tokens));
+                         balancing::prompts_per_engine(service.engine_memory_tokens, tokens));
     log_places(service, tokens, changes);
     prompts += placement.prompts();
     copies += placement.copies();
@@ -110,7 +110,7 @@
 }
 
 void EnginePicture::log_places(const routing::Service& service, double prompt_tokens,
-                               const std::vector<balancing::PlacesChange>& changes) {
+                               const std::vector<balancing::ReplicaCountChange>& changes) {
   std::size_t lines = 0;
   for (const auto& change : changes) {
     if (lines++ == kMostPlacesLines) break;
--- a/src/serving/engine_picture.hpp
+++ b/src/serving/engine_picture.hpp
@@ -22,11 +22,11 @@
   void take_failures(net::TimePoint now);
   /// Takes over how fast engines are, as this node's exchanges and the other nodes tell.
   void take_speeds(net::TimePoint now);
-  void log_speed(balancing::Engine& engine, const balancing::SpeedFigure& told, net::TimePoint now);
+  void log_speed(balancing::Engine& engine, const balancing::SpeedReport& told, net::TimePoint now);
   /// Settles which engines keep each shared prompt, from what all nodes are asked for.
   void place_prompts(net::TimePoint now);
   void log_places(const routing::Service& service, double prompt_tokens,
-                  const std::vector<balancing::PlacesChange>& changes);
+                  const std::vector<balancing::ReplicaCountChange>& changes);
 
   NodeState& state_;
   net::TimePoint speeds_taken_at_{};
--- a/src/serving/gateway.cpp
+++ b/src/serving/gateway.cpp
@@ -46,7 +46,7 @@
                  }),
       peer_server_(context, state_.settings.peers,
                    [this](net::TextRequest request) { return answer_peer(std::move(request)); }) {
-  state_.engines.on_leaving([this](const balancing::Engine& engine) {
+  state_.engines.on_unusable([this](const balancing::Engine& engine) {
     state_.connections.drop(engine.record.id);
     state_.log.event("engine_leaving").with("engine", engine.record.id);
   });
--- a/src/serving/plain_call.cpp
+++ b/src/serving/plain_call.cpp
@@ -48,7 +48,7 @@
   if (!state_.settings.mechanisms.speeds || !is_success(exchange.head().result_int())) return;
   const auto now = net::Clock::now();
   const double milliseconds = net::milliseconds_between(exchange.began_at(), now);
-  state_.exchange_times.note_plain(exchange.engine(), call_.route->name, milliseconds, now);
+  state_.exchange_times.record_plain_call(exchange.engine(), call_.route->name, milliseconds, now);
 }
 
 }  // namespace sailgate::serving
--- a/src/serving/reach_watch.cpp
+++ b/src/serving/reach_watch.cpp
@@ -62,18 +62,19 @@
   stream.expires_after(kZoneTryTime);
   net::Error error;
   co_await stream.async_connect(engine->record.endpoint, net::awaiting(error));
-  if (!error) zone_reach_.note_sign(engine->record.zone, net::Clock::now());
+  if (!error) zone_reach_.record_contact(engine->record.zone, net::Clock::now());
 }
 
 void ReachWatch::take_zone_reach(net::TimePoint now) {
   for (const auto& [zone, at] : readiness::newest_signs(state_.peers)) {
-    zone_reach_.note_sign(zone, at);
+    zone_reach_.record_contact(zone, at);
   }
   std::map<std::string, std::vector<balancing::EnginePointer>> elsewhere;
   for (const auto& engine : state_.engines.all()) {
     const auto& zone = engine->record.zone;
     if (zone == state_.settings.zone) continue;
-    if (engine->answered_at != net::TimePoint{}) zone_reach_.note_sign(zone, engine->answered_at);
+    if (engine->answered_at != net::TimePoint{})
+      zone_reach_.record_contact(zone, engine->answered_at);
     elsewhere[zone].push_back(engine);
   }
   for (const auto& [zone, engines] : elsewhere) use_zone(zone, engines, now);
@@ -82,7 +83,7 @@
 void ReachWatch::use_zone(const std::string& zone,
                           const std::vector<balancing::EnginePointer>& engines,
                           net::TimePoint now) {
-  if (zone_reach_.should_try(zone, now)) {
+  if (zone_reach_.should_probe(zone, now)) {
     const auto chosen = state_.random.below(engines.size());
     net::asio::co_spawn(state_.context, try_zone(engines[chosen]), net::asio::detached);
   }
--- a/src/serving/reach_watch.hpp
+++ b/src/serving/reach_watch.hpp
@@ -34,7 +34,7 @@
 
   NodeState& state_;
   std::function<void()> close_idle_connections_;
-  balancing::ZoneReach zone_reach_;
+  balancing::ZoneReachability zone_reach_;
   bool idle_closed_ = false;  ///< since this node steps aside
 };
 
--- a/src/serving/store_feeds.cpp
+++ b/src/serving/store_feeds.cpp
@@ -41,7 +41,7 @@
 }
 
 void StoreFeeds::maintain(net::TimePoint now) {
-  if (!engine_follower_.entries_may_return(now)) state_.engines.remove_lapsed();
+  if (!engine_follower_.entries_may_return(now)) state_.engines.remove_stale();
   share_store_version();
 }
 
--- a/src/serving/stream_call.cpp
+++ b/src/serving/stream_call.cpp
@@ -308,8 +308,8 @@
 
 net::asio::awaitable<StreamCall::RelayEnd> StreamCall::relay(EngineExchange& exchange) {
   EventScanner scanner;
-  const bool prompt_kept = call_.line_engine == exchange.engine().record.id;
-  StreamTiming timing(exchange.began_at(), prompt_kept);
+  const bool prompt_cached = call_.line_engine == exchange.engine().record.id;
+  StreamTiming timing(exchange.began_at(), prompt_cached);
   const bool resumed = !last_event_id_.empty();
   std::string bytes;
   while (true) {
@@ -335,7 +335,7 @@
   if (!state_.settings.mechanisms.speeds) return;
   const auto now = net::Clock::now();
   const auto times = timing.times(now);
-  if (times) state_.exchange_times.note_stream(exchange.engine(), *times, now);
+  if (times) state_.exchange_times.record_stream(exchange.engine(), *times, now);
 }
 
 net::asio::awaitable<bool> StreamCall::pass_on(std::vector<StreamEvent> events,
--- a/src/serving/stream_timing.cpp
+++ b/src/serving/stream_timing.cpp
@@ -26,12 +26,12 @@
 std::optional<balancing::StreamTimes> StreamTiming::times(net::TimePoint ended) const {
   if (first_ == net::TimePoint{}) return std::nullopt;
   balancing::StreamTimes times;
-  times.first_ms = net::milliseconds_between(began_, first_);
-  times.whole_ms = net::milliseconds_between(began_, ended);
-  times.prompt_kept = prompt_kept_;
+  times.first_event_ms = net::milliseconds_between(began_, first_);
+  times.total_ms = net::milliseconds_between(began_, ended);
+  times.prompt_cached = prompt_kept_;
   const auto span = last_ - first_;
   if (gaps_ >= kLeastGaps && held_ * kMostHeldShare <= span) {
-    times.event_ms = net::milliseconds_between(first_, last_) / static_cast<double>(gaps_);
+    times.mean_event_gap_ms = net::milliseconds_between(first_, last_) / static_cast<double>(gaps_);
   }
   return times;
 }
--- a/src/serving/stream_timing.hpp
+++ b/src/serving/stream_timing.hpp
@@ -11,9 +11,10 @@
 /// Deterministic, not thread-safe.
 class StreamTiming {
  public:
-  /// @param began when the request was sent. @param prompt_kept the engine ran the line's last
+  /// @param began when the request was sent. @param prompt_cached the engine ran the line's last
   /// turn.
-  StreamTiming(net::TimePoint began, bool prompt_kept) : began_(began), prompt_kept_(prompt_kept) {}
+  StreamTiming(net::TimePoint began, bool prompt_cached)
+      : began_(began), prompt_kept_(prompt_cached) {}
 
   /// So many events came together.
   void came(std::size_t events, net::TimePoint now);
--- a/tests/admission/service_load_test.cpp
+++ b/tests/admission/service_load_test.cpp
@@ -42,7 +42,7 @@
   REQUIRE(measure(some).slots == 16);
   REQUIRE(measure(some).lost_slots == 16);
   REQUIRE(measure(some).load == Approx(1.5));
-  some[2]->left_to_probe = true;
+  some[2]->awaiting_probe = true;
   REQUIRE(measure(some).slots == 8);
 }
 
@@ -57,7 +57,7 @@
 
 TEST_CASE("a node by whose sight all engines fail counts them all", "[admission]") {
   auto some = engines(2, 4);
-  for (auto& engine : some) engine->left_to_probe = true;
+  for (auto& engine : some) engine->awaiting_probe = true;
   REQUIRE(measure(some).slots == 16);
   REQUIRE(measure(some).load == Approx(0.5));
 }
--- a/tests/balancing/engine_failures_test.cpp
+++ b/tests/balancing/engine_failures_test.cpp
@@ -10,8 +10,8 @@
 using namespace sailgate;
 using balancing::Engine;
 using balancing::EngineRegistry;
-using balancing::kFailureTold;
-using balancing::leaves_to_probe;
+using balancing::kFailureReportTtl;
+using balancing::should_await_probe;
 
 namespace {
 
@@ -29,15 +29,15 @@
 TEST_CASE("failures are told while they are new", "[balancing]") {
   REQUIRE_FALSE(balancing::failed_lately(Engine{}, kStart));
   REQUIRE(balancing::failed_lately(failed(1, kStart), kStart));
-  REQUIRE_FALSE(balancing::failed_lately(failed(9, kStart), kStart + kFailureTold));
+  REQUIRE_FALSE(balancing::failed_lately(failed(9, kStart), kStart + kFailureReportTtl));
 }
 
 TEST_CASE("an engine that fails for many nodes is left to the one that tries it", "[balancing]") {
-  REQUIRE(leaves_to_probe(Engine{}, 3, false, kStart));
-  REQUIRE(leaves_to_probe(failed(1, kStart), 2, false, kStart));
-  REQUIRE_FALSE(leaves_to_probe(Engine{}, 3, true, kStart));
-  REQUIRE_FALSE(leaves_to_probe(Engine{}, 2, false, kStart));
-  REQUIRE_FALSE(leaves_to_probe(failed(5, kStart - kFailureTold), 2, false, kStart));
+  REQUIRE(should_await_probe(Engine{}, 3, false, kStart));
+  REQUIRE(should_await_probe(failed(1, kStart), 2, false, kStart));
+  REQUIRE_FALSE(should_await_probe(Engine{}, 3, true, kStart));
+  REQUIRE_FALSE(should_await_probe(Engine{}, 2, false, kStart));
+  REQUIRE_FALSE(should_await_probe(failed(5, kStart - kFailureReportTtl), 2, false, kStart));
 }
 
 namespace {
@@ -87,7 +87,7 @@
     std::set<std::string> ids;
     for (const auto& node : nodes_) {
       for (const auto& engine : node.all()) {
-        if (engine->left_to_probe || now_ < engine->avoid_until) ids.insert(engine->record.id);
+        if (engine->awaiting_probe || now_ < engine->avoid_until) ids.insert(engine->record.id);
       }
     }
     return static_cast<int>(ids.size());
@@ -123,7 +123,7 @@
         const auto known = nodes_[node].find(id(engine));
         const int own = balancing::failed_lately(*known, now_) ? known->consecutive_failures : 0;
         const bool tries = node % kNodesPerZone == engine % kNodesPerZone;
-        known->left_to_probe = leaves_to_probe(*known, sum - own, tries, now_);
+        known->awaiting_probe = should_await_probe(*known, sum - own, tries, now_);
       }
     }
   }
--- a/tests/balancing/engine_registry_test.cpp
+++ b/tests/balancing/engine_registry_test.cpp
@@ -24,7 +24,7 @@
   EngineRegistry registry;
   std::vector<std::string> left;
   int restarts = 0;
-  registry.on_leaving([&](const auto& engine) { left.push_back(engine.record.id); });
+  registry.on_unusable([&](const auto& engine) { left.push_back(engine.record.id); });
   registry.on_restart([&](const auto&, const auto&) { ++restarts; });
   registry.put(run_of("e", 1000));
   const auto before = registry.find("e@1000");
@@ -75,10 +75,10 @@
           "[balancing]") {
   EngineRegistry registry;
   registry.put(run_of("e", 1000));
-  registry.lapse("e");
+  registry.mark_stale("e");
   REQUIRE(registry.at("e")->usable());
   registry.put(run_of("e", 2000));
-  registry.remove_lapsed();
+  registry.remove_stale();
   REQUIRE(registry.at("e")->record.id == "e@2000");
   registry.remove("e");
   REQUIRE(registry.size() == 0);
@@ -98,7 +98,7 @@
   REQUIRE(registry.at("e")->usable());
   REQUIRE(registry.at("e")->in_flight == 2);
   // A whole list in which it is unusable takes it out of use, and not away.
-  registry.replace({run_of("other", 1)}, EngineRegistry::Absent::kRemoved, {"e"});
+  registry.replace({run_of("other", 1)}, EngineRegistry::AbsentPolicy::kRemove, {"e"});
   REQUIRE(registry.at("e") != nullptr);
   REQUIRE_FALSE(registry.at("e")->usable());
 }
--- a/tests/balancing/engine_selector_test.cpp
+++ b/tests/balancing/engine_selector_test.cpp
@@ -52,7 +52,7 @@
 TEST_CASE("an incarnation that drains does not come back", "[balancing]") {
   EngineRegistry engines;
   int leaving = 0;
-  engines.on_leaving([&](const balancing::Engine&) { ++leaving; });
+  engines.on_unusable([&](const balancing::Engine&) { ++leaving; });
   engines.put(record("a", "near"));
   engines.put(record("a", "near", true));
   engines.put(record("a", "near"));
@@ -74,14 +74,14 @@
 TEST_CASE("an engine whose entry lapsed serves until it is known to be gone", "[balancing]") {
   auto engines = registry();
   int leaving = 0;
-  engines.on_leaving([&](const balancing::Engine&) { ++leaving; });
-  using Absent = EngineRegistry::Absent;
-  engines.lapse("a");
-  engines.replace({record("a", "near"), record("c", "far")}, Absent::kLapsed);
+  engines.on_unusable([&](const balancing::Engine&) { ++leaving; });
+  using AbsentPolicy = EngineRegistry::AbsentPolicy;
+  engines.mark_stale("a");
+  engines.replace({record("a", "near"), record("c", "far")}, AbsentPolicy::kMarkStale);
   REQUIRE(engines.of_service("llm").size() == 4);
   REQUIRE(leaving == 0);
   engines.put(record("b", "near"));
-  engines.remove_lapsed();
+  engines.remove_stale();
   REQUIRE(engines.find("a") != nullptr);
   REQUIRE(engines.find("b") != nullptr);
   REQUIRE(engines.find("d") == nullptr);
@@ -278,9 +278,9 @@
   engines.find("a")->speed = 0.4;
   // Not known what reading anew costs, or more than two turns gain.
   REQUIRE(balancing::select_engine(engines, asked)->record.id == "a");
-  asked.turn_over_reading = 0.5;
+  asked.turn_to_prefill_ratio = 0.5;
   REQUIRE(balancing::select_engine(engines, asked)->record.id == "a");
-  asked.turn_over_reading = 5;
+  asked.turn_to_prefill_ratio = 5;
   REQUIRE(balancing::select_engine(engines, asked)->record.id != "a");
 }
 
@@ -288,7 +288,7 @@
   auto engines = registry();
   auto asked = query();
   asked.line_engine = "a";
-  asked.turn_over_reading = 5;
+  asked.turn_to_prefill_ratio = 5;
   engines.find("a")->speed = 0.85;
   REQUIRE(balancing::select_engine(engines, asked)->record.id == "a");
 }
@@ -297,7 +297,7 @@
   auto engines = registry();
   auto asked = query();
   asked.line_engine = "a";
-  asked.turn_over_reading = 5;
+  asked.turn_to_prefill_ratio = 5;
   engines.find("a")->speed = 0.4;
   // A turn takes 2.5 times as long at the slow engine, and 3.25 times as long at the others.
   for (const auto* id : {"b", "c", "d"}) engines.find(id)->peer_in_flight = 12;
--- a/tests/balancing/engine_speed_test.cpp
+++ b/tests/balancing/engine_speed_test.cpp
@@ -15,9 +15,9 @@
 namespace rc {
 
 template <>
-struct Arbitrary<sailgate::balancing::SpeedFigure> {
-  static Gen<sailgate::balancing::SpeedFigure> arbitrary() {
-    using Figure = sailgate::balancing::SpeedFigure;
+struct Arbitrary<sailgate::balancing::SpeedReport> {
+  static Gen<sailgate::balancing::SpeedReport> arbitrary() {
+    using Figure = sailgate::balancing::SpeedReport;
     return gen::build<Figure>(gen::set(&Figure::permille), gen::set(&Figure::samples));
   }
 };
@@ -25,9 +25,9 @@
 }  // namespace rc
 
 using namespace sailgate;
-using balancing::BelievedSpeed;
 using balancing::EngineSpeed;
-using balancing::SpeedFigure;
+using balancing::SpeedEstimate;
+using balancing::SpeedReport;
 
 namespace {
 
@@ -46,7 +46,7 @@
 
 TEST_CASE("an engine that nobody used counts as usual", "[balancing]") {
   REQUIRE(EngineSpeed().figure(kStart).samples == 0);
-  BelievedSpeed believed;
+  SpeedEstimate believed;
   REQUIRE(believed.value() == 1);
   believed.take({250, 0}, {4000, -3}, kStart);
   REQUIRE(believed.value() == 1);
@@ -67,7 +67,7 @@
   speed.add(std::numeric_limits<double>::quiet_NaN(), kStart);
   speed.add(std::numeric_limits<double>::infinity(), kStart);
   REQUIRE(speed.figure(kStart).samples == 1);
-  BelievedSpeed believed;
+  SpeedEstimate believed;
   believed.take(speed.figure(kStart), {}, kStart);
   REQUIRE(believed.value() > 0.8);
 }
@@ -76,7 +76,7 @@
     "an engine that turns slow is believed within 3 s, its mending as well, and what is known "
     "is forgotten within 8 s",
     "[balancing]") {
-  BelievedSpeed believed;
+  SpeedEstimate believed;
   auto now = kStart;
   const auto hear = [&](int permille, int samples, int milliseconds) {
     for (int at = 0; at < milliseconds; at += 100, now += net::Millis(100)) {
@@ -101,16 +101,16 @@
     for (const auto& [slowness, at] : samples) {
       speed.add(slowness / 1000.0, kStart + net::Millis(at % 100'000));
       const auto figure = speed.figure(kStart + net::Millis(at % 77'777));
-      RC_ASSERT(figure.permille >= balancing::kLeastPermille);
-      RC_ASSERT(figure.permille <= balancing::kMostPermille);
+      RC_ASSERT(figure.permille >= balancing::kMinPermille);
+      RC_ASSERT(figure.permille <= balancing::kMaxPermille);
       RC_ASSERT(figure.samples >= 0);
     }
   });
 }
 
 TEST_CASE("believed speeds lie within the bounds and between what was told", "[balancing]") {
-  rc::check([](const std::vector<std::pair<SpeedFigure, SpeedFigure>>& heard) {
-    BelievedSpeed believed;
+  rc::check([](const std::vector<std::pair<SpeedReport, SpeedReport>>& heard) {
+    SpeedEstimate believed;
     double least = 1;
     double most = 1;
     auto now = kStart;
@@ -163,8 +163,8 @@
     }
     RC_ASSERT(forth.size() == back.size());
     if (forth.empty()) return;
-    RC_ASSERT(forth.at(1).permille >= balancing::kLeastPermille);
-    RC_ASSERT(forth.at(1).permille <= balancing::kMostPermille);
+    RC_ASSERT(forth.at(1).permille >= balancing::kMinPermille);
+    RC_ASSERT(forth.at(1).permille <= balancing::kMaxPermille);
     RC_ASSERT(forth.at(1).samples == back.at(1).samples);
     RC_ASSERT(forth.at(1).samples > 0);
     // Each merge rounds down by less than one.
@@ -174,7 +174,7 @@
 }
 
 TEST_CASE("the usual time is little moved by exchanges that hang", "[balancing]") {
-  balancing::UsualTime usual;
+  balancing::RunningMedian usual;
   base::Random random(1);
   for (int i = 0; i < 400; ++i) usual.add(random.below(10) == 0 ? 4000 : 38 + random.below(5));
   REQUIRE(usual.known());
@@ -182,7 +182,7 @@
 }
 
 TEST_CASE("the usual time follows a change", "[balancing]") {
-  balancing::UsualTime usual;
+  balancing::RunningMedian usual;
   for (int i = 0; i < 100; ++i) usual.add(40);
   for (int i = 0; i < 40; ++i) usual.add(60);
   REQUIRE(usual.milliseconds() == Approx(60).epsilon(0.05));
@@ -199,11 +199,11 @@
     const int busy_requests = i % 4 == 0 ? 4 : 7;
     idle.in_flight = idle_requests;
     busy.in_flight = busy_requests;
-    times.note_stream(idle, {10, 30.0 + 4 * idle_requests, 250, true}, now);
-    times.note_stream(busy, {10, 30.0 + 4 * busy_requests, 250, true}, now);
+    times.record_stream(idle, {10, 30.0 + 4 * idle_requests, 250, true}, now);
+    times.record_stream(busy, {10, 30.0 + 4 * busy_requests, 250, true}, now);
     for (auto* used : {&idle, &busy}) {
-      used->told_speed.take(used->own_speed.figure(now), {}, now);
-      used->speed = used->told_speed.value();
+      used->speed_estimate.take(used->own_speed.figure(now), {}, now);
+      used->speed = used->speed_estimate.value();
     }
   }
   CAPTURE(idle.speed, busy.speed);
@@ -216,10 +216,10 @@
   auto slow = engine();
   for (int i = 0; i < 60; ++i) {
     const auto now = kStart + net::Millis(100 * i);
-    times.note_plain(usual, "short", 10, now);
-    times.note_plain(usual, "long", 200, now);
-    times.note_plain(usual, "short", 10, now);
-    times.note_plain(slow, i % 2 == 0 ? "short" : "long", i % 2 == 0 ? 20 : 400, now);
+    times.record_plain_call(usual, "short", 10, now);
+    times.record_plain_call(usual, "long", 200, now);
+    times.record_plain_call(usual, "short", 10, now);
+    times.record_plain_call(slow, i % 2 == 0 ? "short" : "long", i % 2 == 0 ? 20 : 400, now);
   }
   const auto now = kStart + net::Millis(6000);
   CHECK(usual.own_speed.figure(now).permille == Approx(1000).epsilon(0.1));
@@ -229,21 +229,22 @@
 TEST_CASE("many routes do not grow what is kept without bound", "[balancing]") {
   balancing::ExchangeTimes times;
   auto used = engine();
-  for (int i = 0; i < 5000; ++i) times.note_plain(used, "route-" + std::to_string(i), 10, kStart);
-  for (int i = 0; i < 20; ++i) times.note_plain(used, "route-4999", 10, kStart);
+  for (int i = 0; i < 5000; ++i)
+    times.record_plain_call(used, "route-" + std::to_string(i), 10, kStart);
+  for (int i = 0; i < 20; ++i) times.record_plain_call(used, "route-4999", 10, kStart);
   REQUIRE(used.own_speed.figure(kStart).samples == 0);
 }
 
 TEST_CASE("a turn's time is set against reading its prompt anew", "[balancing]") {
   balancing::ExchangeTimes times;
   auto used = engine();
-  REQUIRE(times.turn_over_reading("llm") == 0);
+  REQUIRE(times.turn_to_prefill_ratio("llm") == 0);
   for (int i = 0; i < 20; ++i) {
-    times.note_stream(used, {15, 40, 255, true}, kStart);
-    REQUIRE(times.turn_over_reading("llm") == 0);
+    times.record_stream(used, {15, 40, 255, true}, kStart);
+    REQUIRE(times.turn_to_prefill_ratio("llm") == 0);
   }
-  for (int i = 0; i < 20; ++i) times.note_stream(used, {66, 40, 300, false}, kStart);
-  REQUIRE(times.turn_over_reading("llm") == Approx(5));
+  for (int i = 0; i < 20; ++i) times.record_stream(used, {66, 40, 300, false}, kStart);
+  REQUIRE(times.turn_to_prefill_ratio("llm") == Approx(5));
 }
 
 TEST_CASE("a speed near a border of two steps is logged once", "[balancing]") {
--- a/tests/balancing/prompt_load_test.cpp
+++ b/tests/balancing/prompt_load_test.cpp
@@ -110,7 +110,7 @@
     const auto counts = demand_.told(time());
     for (int node = 0; node < kNodes; ++node) {
       placements_[node].update(counts, registries_[node].of_service("llm"),
-                               balancing::prompts_an_engine(0, 0));
+                               balancing::prompts_per_engine(0, 0));
     }
   }
 
@@ -135,7 +135,7 @@
     query.now = net::Clock::now();
     query.draw = random_.below(UINT64_MAX);
     query.affinity_key = "program-" + std::to_string(turn.program);
-    if (placed_) query.prompt = &placements_[turn.node].places(key(turn.prompt), engines);
+    if (placed_) query.prompt = &placements_[turn.node].replicas(key(turn.prompt), engines);
     if (turn.engine >= 0) query.line_engine = std::to_string(turn.engine);
     const auto chosen = balancing::select_engine(registry, query);
     turn.engine = std::stoi(chosen->record.id);
--- a/tests/balancing/prompt_placement_test.cpp
+++ b/tests/balancing/prompt_placement_test.cpp
@@ -53,16 +53,17 @@
 }
 
 int engines_of(PromptPlacement& placement, int prompt, const EngineRegistry& engines) {
-  return static_cast<int>(placement.places(key(prompt), engines.of_service("llm")).engines.size());
+  return static_cast<int>(
+      placement.replicas(key(prompt), engines.of_service("llm")).engines.size());
 }
 
-balancing::SelectionQuery query(const balancing::PromptPlaces& places, int program,
+balancing::SelectionQuery query(const balancing::PromptReplicas& replicas, int program,
                                 const std::string& zone) {
   balancing::SelectionQuery query;
   query.service = "llm";
   query.zone = zone;
   query.affinity_key = "program-" + std::to_string(program);
-  query.prompt = &places;
+  query.prompt = &replicas;
   query.now = net::Clock::now();
   return query;
 }
@@ -72,19 +73,19 @@
                                   const std::string& zone) {
   std::map<int, std::string> by_program;
   for (int program = 0; program < 2'000; ++program) {
-    const auto& places = placement.places(key(program % kPrompts), engines.of_service("llm"));
+    const auto& replicas = placement.replicas(key(program % kPrompts), engines.of_service("llm"));
     by_program[program] =
-        balancing::select_engine(engines, query(places, program, zone))->record.id;
+        balancing::select_engine(engines, query(replicas, program, zone))->record.id;
   }
   return by_program;
 }
 
 /// Engines that keep each prompt.
-std::map<int, balancing::PromptPlaces::Engines> keepers(PromptPlacement& placement,
-                                                        const EngineRegistry& engines) {
-  std::map<int, balancing::PromptPlaces::Engines> by_prompt;
+std::map<int, balancing::PromptReplicas::Engines> keepers(PromptPlacement& placement,
+                                                          const EngineRegistry& engines) {
+  std::map<int, balancing::PromptReplicas::Engines> by_prompt;
   for (int prompt = 0; prompt < kPrompts; ++prompt) {
-    by_prompt[prompt] = placement.places(key(prompt), engines.of_service("llm")).engines;
+    by_prompt[prompt] = placement.replicas(key(prompt), engines.of_service("llm")).engines;
   }
   return by_prompt;
 }
@@ -96,8 +97,8 @@
   int copies = 0;
 };
 
-Moves moves_between(const std::map<int, balancing::PromptPlaces::Engines>& before,
-                    const std::map<int, balancing::PromptPlaces::Engines>& after,
+Moves moves_between(const std::map<int, balancing::PromptReplicas::Engines>& before,
+                    const std::map<int, balancing::PromptReplicas::Engines>& after,
                     const EngineRegistry& engines) {
   Moves moves;
   for (const auto& [prompt, old] : before) {
@@ -121,12 +122,12 @@
   REQUIRE(placement.prompts() == kPrompts);
   std::map<std::string, int> copies;
   for (int prompt = 0; prompt < kPrompts; ++prompt) {
-    const auto& places = placement.places(key(prompt), engines.of_service("llm"));
+    const auto& replicas = placement.replicas(key(prompt), engines.of_service("llm"));
     const double wanted = kCopies * kEngines * counts.at(key(prompt)) / 3'000;
     INFO("prompt " << prompt << " wanted " << wanted);
-    CHECK(std::abs(static_cast<double>(places.engines.size()) - wanted) <= 1);
+    CHECK(std::abs(static_cast<double>(replicas.engines.size()) - wanted) <= 1);
     std::set<std::string> zones;
-    for (const auto& engine : places.engines) {
+    for (const auto& engine : replicas.engines) {
       zones.insert(engines.find(engine)->record.zone);
       ++copies[engine];
     }
@@ -167,11 +168,11 @@
 }
 
 TEST_CASE("memory bounds the prompts of an engine", "[balancing][prompts]") {
-  REQUIRE(balancing::prompts_an_engine(0, 12'600) == 3);
-  REQUIRE(balancing::prompts_an_engine(225'878, 0) == 3);
-  REQUIRE(balancing::prompts_an_engine(225'878, 12'600) == 3);
-  REQUIRE(balancing::prompts_an_engine(100'000, 25'000) == 2);
-  REQUIRE(balancing::prompts_an_engine(10'000, 25'000) == 1);
+  REQUIRE(balancing::prompts_per_engine(0, 12'600) == 3);
+  REQUIRE(balancing::prompts_per_engine(225'878, 0) == 3);
+  REQUIRE(balancing::prompts_per_engine(225'878, 12'600) == 3);
+  REQUIRE(balancing::prompts_per_engine(100'000, 25'000) == 2);
+  REQUIRE(balancing::prompts_per_engine(10'000, 25'000) == 1);
 }
 
 TEST_CASE("a prompt whose demand triples gets more engines and gives them back",
@@ -180,11 +181,11 @@
   PromptPlacement placement;
   const auto usual = skewed_counts(3'000);
   placement.update(usual, engines.of_service("llm"), kCopies);
-  const auto before = placement.places(key(6), engines.of_service("llm")).engines;
+  const auto before = placement.replicas(key(6), engines.of_service("llm")).engines;
   auto raised = usual;
   raised[key(6)] *= 3;
   const auto changes = placement.update(raised, engines.of_service("llm"), kCopies);
-  const auto during = placement.places(key(6), engines.of_service("llm")).engines;
+  const auto during = placement.replicas(key(6), engines.of_service("llm")).engines;
   CHECK(during.size() >= 2 * before.size());
   // The engines that have read it keep it.
   std::size_t kept = 0;
@@ -196,7 +197,7 @@
   });
   CHECK(told);
   placement.update(usual, engines.of_service("llm"), kCopies);
-  const auto after = placement.places(key(6), engines.of_service("llm")).engines;
+  const auto after = placement.replicas(key(6), engines.of_service("llm")).engines;
   CHECK(std::abs(static_cast<int>(after.size()) - static_cast<int>(before.size())) <= 1);
 }
 
@@ -251,19 +252,19 @@
   const auto engines = registry();
   PromptPlacement placement;
   placement.update(skewed_counts(3'000), engines.of_service("llm"), kCopies);
-  const auto& places = placement.places(key(0), engines.of_service("llm"));
-  auto asked = query(places, 1, "a");
+  const auto& replicas = placement.replicas(key(0), engines.of_service("llm"));
+  auto asked = query(replicas, 1, "a");
   std::set<std::string> used;
-  for (std::size_t turn = 0; turn < places.engines.size(); ++turn) {
+  for (std::size_t turn = 0; turn < replicas.engines.size(); ++turn) {
     const auto engine = balancing::select_engine(engines, asked)->record.id;
-    CHECK(places.hold(engine));
+    CHECK(replicas.hold(engine));
     CHECK(used.insert(engine).second);
     asked.excluded.push_back(engine);
   }
   // Then the next in the prompt's order, the same for all its programs.
   const auto next = balancing::select_engine(engines, asked)->record.id;
-  CHECK_FALSE(places.hold(next));
-  auto other = query(places, 2, "a");
+  CHECK_FALSE(replicas.hold(next));
+  auto other = query(replicas, 2, "a");
   other.excluded = asked.excluded;
   CHECK(balancing::select_engine(engines, other)->record.id == next);
 }
@@ -276,13 +277,13 @@
   for (const auto& [program, engine] : chosen(placement, engines, "b")) {
     REQUIRE(engines.find(engine)->record.zone == "b");
   }
-  const auto& places = placement.places(key(0), engines.of_service("llm"));
+  const auto& replicas = placement.replicas(key(0), engines.of_service("llm"));
   for (const auto& engine : engines.all()) {
     if (engine->record.zone == "b") engine->peer_in_flight = 8;
   }
-  const auto elsewhere = balancing::select_engine(engines, query(places, 0, "b"));
+  const auto elsewhere = balancing::select_engine(engines, query(replicas, 0, "b"));
   REQUIRE(elsewhere->record.zone != "b");
-  REQUIRE(places.hold(elsewhere->record.id));
+  REQUIRE(replicas.hold(elsewhere->record.id));
 }
 
 TEST_CASE("nodes with the same counts agree", "[balancing][prompts]") {
@@ -301,8 +302,8 @@
     first.update(counts, one.of_service("llm"), kCopies);
     second.update(counts, other.of_service("llm"), kCopies);
     for (const auto& [prompt, asked] : counts) {
-      const auto& places = first.places(prompt, one.of_service("llm"));
-      RC_ASSERT(places.engines == second.places(prompt, other.of_service("llm")).engines);
+      const auto& replicas = first.replicas(prompt, one.of_service("llm"));
+      RC_ASSERT(replicas.engines == second.replicas(prompt, other.of_service("llm")).engines);
     }
   }));
 }
--- a/tests/balancing/uneven_engines_test.cpp
+++ b/tests/balancing/uneven_engines_test.cpp
@@ -158,11 +158,11 @@
       if (known == nullptr) continue;
       known->peer_in_flight = std::max(news.loads[engine] - known->in_flight, 0);
       if (!settings_.learns) continue;
-      balancing::SpeedFigure told;
+      balancing::SpeedReport told;
       const auto entry = news.speeds.find(engine);
       if (entry != news.speeds.end()) told = {entry->second.permille, entry->second.samples};
-      known->told_speed.take(known->own_speed.figure(now()), told, now());
-      known->speed = known->told_speed.value();
+      known->speed_estimate.take(known->own_speed.figure(now()), told, now());
+      known->speed = known->speed_estimate.value();
       ++heard_;
       heard_slow_ += known->speed < 0.7 ? 1 : 0;
     }
@@ -200,7 +200,7 @@
       --engine->in_flight;
       engine->idle_connections = 1;
       if (settings_.learns) {
-        node.times.note_stream(*engine, {10, request.ms / kEvents, request.ms, true}, now());
+        node.times.record_stream(*engine, {10, request.ms / kEvents, request.ms, true}, now());
       }
     }
   }
--- a/tests/balancing/zone_reach_test.cpp
+++ b/tests/balancing/zone_reach_test.cpp
@@ -6,7 +6,7 @@
 #include "base/random.hpp"
 
 using namespace sailgate;
-using balancing::ZoneReach;
+using balancing::ZoneReachability;
 using net::Millis;
 
 namespace {
@@ -18,32 +18,32 @@
 
 TEST_CASE("a zone that falls silent is not reachable within a second, until a sign of it",
           "[balancing]") {
-  ZoneReach reach;
+  ZoneReachability reach;
   REQUIRE(reach.reachable("b", kStart));
-  reach.note_sign("b", kStart);
+  reach.record_contact("b", kStart);
   REQUIRE(reach.reachable("b", kStart + Millis(600)));
   REQUIRE_FALSE(reach.reachable("b", kStart + Millis(900)));
   REQUIRE(reach.reachable("c", kStart + Millis(900)));
-  reach.note_sign("b", kStart + Millis(950));
+  reach.record_contact("b", kStart + Millis(950));
   REQUIRE(reach.reachable("b", kStart + Millis(1000)));
 }
 
 TEST_CASE("old signs do not make a zone older", "[balancing]") {
-  ZoneReach reach;
-  reach.note_sign("b", kStart + Millis(500));
-  reach.note_sign("b", kStart);
+  ZoneReachability reach;
+  reach.record_contact("b", kStart + Millis(500));
+  reach.record_contact("b", kStart);
   REQUIRE(reach.reachable("b", kStart + Millis(1100)));
 }
 
 TEST_CASE("a connection is tried before a zone counts as silent, and then again and again",
           "[balancing]") {
-  ZoneReach reach;
-  REQUIRE_FALSE(reach.should_try("b", kStart));
-  reach.note_sign("b", kStart);
+  ZoneReachability reach;
+  REQUIRE_FALSE(reach.should_probe("b", kStart));
+  reach.record_contact("b", kStart);
   int tries = 0;
   net::TimePoint first{};
   for (auto now = kStart; now < kStart + Millis(5400); now += kTick) {
-    if (!reach.should_try("b", now)) continue;
+    if (!reach.should_probe("b", now)) continue;
     if (tries++ == 0) first = now;
   }
   REQUIRE(first == kStart + Millis(600));
@@ -52,10 +52,10 @@
 }
 
 TEST_CASE("a zone without nodes whose engines take connections stays in use", "[balancing]") {
-  ZoneReach reach;
-  reach.note_sign("b", kStart);
+  ZoneReachability reach;
+  reach.record_contact("b", kStart);
   for (auto now = kStart; now < kStart + Millis(60'000); now += kTick) {
-    if (reach.should_try("b", now)) reach.note_sign("b", now + Millis(3));
+    if (reach.should_probe("b", now)) reach.record_contact("b", now + Millis(3));
     REQUIRE(reach.reachable("b", now));
   }
 }
--- a/tests/serving/engine_entries_test.cpp
+++ b/tests/serving/engine_entries_test.cpp
@@ -34,8 +34,8 @@
   EntriesFixture() { start(); }
 
   serving::NodeState& state() { return gateway->state(); }
-  bool usable(const std::string& place) {
-    const auto engine = state().engines.at(place);
+  bool usable(const std::string& entry_key) {
+    const auto engine = state().engines.at(entry_key);
     return engine != nullptr && engine->usable();
   }
 
--- a/tests/serving/engine_speed_wiring_test.cpp
+++ b/tests/serving/engine_speed_wiring_test.cpp
@@ -24,8 +24,8 @@
   REQUIRE(beacon.__isset.speeds);
   const auto& told = beacon.speeds.at(cluster::engine_key("e-1"));
   REQUIRE(told.samples > 0);
-  REQUIRE(told.permille >= balancing::kLeastPermille);
-  REQUIRE(told.permille <= balancing::kMostPermille);
+  REQUIRE(told.permille >= balancing::kMinPermille);
+  REQUIRE(told.permille <= balancing::kMaxPermille);
 }
 
 TEST_CASE_METHOD(GatewayFixture, "answers that are no success tell nothing of an engine's speed",
--- a/tests/serving/stream_timing_test.cpp
+++ b/tests/serving/stream_timing_test.cpp
@@ -20,18 +20,18 @@
   timing.came(1, kStart + Millis(140));
   const auto times = timing.times(kStart + Millis(150));
   REQUIRE(times);
-  REQUIRE(times->first_ms == Approx(20));
-  REQUIRE(times->event_ms == Approx(40));
-  REQUIRE(times->whole_ms == Approx(150));
-  REQUIRE(times->prompt_kept);
+  REQUIRE(times->first_event_ms == Approx(20));
+  REQUIRE(times->mean_event_gap_ms == Approx(40));
+  REQUIRE(times->total_ms == Approx(150));
+  REQUIRE(times->prompt_cached);
 }
 
 TEST_CASE("events that came together tell no time between them", "[serving]") {
   StreamTiming timing(kStart, false);
   timing.came(4, kStart + Millis(20));
-  REQUIRE(timing.times(kStart + Millis(20))->event_ms == 0);
+  REQUIRE(timing.times(kStart + Millis(20))->mean_event_gap_ms == 0);
   timing.came(1, kStart + Millis(60));
-  REQUIRE(timing.times(kStart + Millis(60))->event_ms == 0);
+  REQUIRE(timing.times(kStart + Millis(60))->mean_event_gap_ms == 0);
 }
 
 TEST_CASE("a caller that is slow to read does not make its engine slow", "[serving]") {
@@ -40,5 +40,5 @@
   timing.taken(kStart + Millis(220));
   timing.came(2, kStart + Millis(221));
   timing.came(2, kStart + Millis(300));
-  REQUIRE(timing.times(kStart + Millis(300))->event_ms == 0);
+  REQUIRE(timing.times(kStart + Millis(300))->mean_event_gap_ms == 0);
 }
