--- a/src/balancing/believed_speed.cpp
+++ b/src/balancing/believed_speed.cpp
@@ -9,16 +9,16 @@
 namespace {
 
 constexpr double kPermille = 1000;
-/// Samples that the usual speed counts for: one slow exchange of an engine that has hardly been
-/// used must not empty it.
-constexpr int kUsualSamples = 4;
+/// Weight of the prior (normal speed), in samples, so that a single slow exchange of a rarely used
+/// engine does not divert all its traffic.
+constexpr int kPriorSamples = 4;
 
 }  // namespace
 
-SpeedReport merged(const SpeedReport& own, const SpeedReport& told) {
+SpeedReport weighted_mean(const SpeedReport& own, const SpeedReport& peers) {
   std::int64_t samples = 0;
   std::int64_t sum = 0;
-  for (const auto& figure : {own, told}) {
+  for (const auto& figure : {own, peers}) {
     if (figure.samples <= 0) continue;
     const std::int64_t counted = std::min(figure.samples, kMaxSamples);
     samples += counted;
@@ -30,27 +30,27 @@
 
 double SpeedEstimate::median(net::TimePoint now, int& samples) const {
   std::vector<double> speeds;
-  for (const auto& reading : readings_) {
-    if (reading.figure.samples == 0) continue;
-    if (now >= reading.at + kSpeedReading * static_cast<int>(kReadings)) continue;
-    speeds.push_back(reading.figure.permille / kPermille);
-    samples += reading.figure.samples;
+  for (const auto& entry : window_) {
+    if (entry.figure.samples == 0) continue;
+    if (now >= entry.at + kSpeedSampleInterval * static_cast<int>(kWindowSize)) continue;
+    speeds.push_back(entry.figure.permille / kPermille);
+    samples += entry.figure.samples;
   }
   if (speeds.empty()) return 1;
   std::sort(speeds.begin(), speeds.end());
-  const auto half = speeds.size() / 2;
-  if (speeds.size() % 2 == 1) return speeds[half];
-  return (speeds[half - 1] + speeds[half]) / 2;
+  const auto middle = speeds.size() / 2;
+  if (speeds.size() % 2 == 1) return speeds[middle];
+  return (speeds[middle - 1] + speeds[middle]) / 2;
 }
 
-void SpeedEstimate::take(const SpeedReport& own, const SpeedReport& told, net::TimePoint now) {
-  if (now < taken_at_ + kSpeedReading) return;
-  taken_at_ = now;
-  readings_.at(next_) = {merged(own, told), now};
-  next_ = (next_ + 1) % kReadings;
+void SpeedEstimate::update(const SpeedReport& own, const SpeedReport& peers, net::TimePoint now) {
+  if (now < updated_at_ + kSpeedSampleInterval) return;
+  updated_at_ = now;
+  window_.at(next_index_) = {weighted_mean(own, peers), now};
+  next_index_ = (next_index_ + 1) % kWindowSize;
   int samples = 0;
   const double speed = median(now, samples);
-  value_ = (speed * samples + kUsualSamples) / (samples + kUsualSamples);
+  value_ = (speed * samples + kPriorSamples) / (samples + kPriorSamples);
 }
 
 }  // namespace sailgate::balancing
--- a/src/balancing/believed_speed.hpp
+++ b/src/balancing/believed_speed.hpp
@@ -1,4 +1,4 @@
-/// @file Speed that a node goes by, from its own exchanges and what the others tell.
+/// @file Estimate of an engine's speed from this node's exchanges and the reports of its peers.
 #pragma once
 
 #include <array>
@@ -8,33 +8,36 @@
 
 namespace sailgate::balancing {
 
-/// Median over some seconds of what was told: an engine that is slow for half a second now and then
-/// stays where it is, one that turns slow is seen within three seconds. A mean that fades over as
-/// long believed 0.45 of an engine that is 2.5 times slower for 0.6 s in every 4 s (12 nodes in
-/// virtual time), and sent its work around. Deterministic, not thread-safe.
+/// Median of the reported speeds over the last few seconds. An engine with occasional pauses of
+/// half a second keeps its share of the load; one that becomes slow is detected within three
+/// seconds. An exponentially decaying mean over the same span estimated 0.45 for an engine that was
+/// 2.5 times slower for 0.6 s out of every 4 s (12 nodes in virtual time) and kept shifting load
+/// between engines. Deterministic, not thread-safe.
 class SpeedEstimate {
  public:
-  /// Takes over what is known now; more often than the span of a reading it changes nothing.
-  void take(const SpeedReport& own, const SpeedReport& told, net::TimePoint now);
-  /// Over the usual engine's of the service; 1 when nobody used the engine of late.
+  /// Adds the current reports. Calls less than kSpeedSampleInterval after the last accepted one
+  /// have no effect.
+  void update(const SpeedReport& own, const SpeedReport& peers, net::TimePoint now);
+  /// Relative to the service's normal speed; 1 if no node has used the engine recently.
   double value() const { return value_; }
 
  private:
-  struct Reading {
+  struct WindowEntry {
     SpeedReport figure;
     net::TimePoint at{};
   };
-  static constexpr std::size_t kReadings = 7;
+  static constexpr std::size_t kWindowSize = 7;
 
   double median(net::TimePoint now, int& samples) const;
 
-  std::array<Reading, kReadings> readings_{};
-  std::size_t next_ = 0;
-  net::TimePoint taken_at_{};
+  std::array<WindowEntry, kWindowSize> window_{};
+  std::size_t next_index_ = 0;
+  net::TimePoint updated_at_{};
   double value_ = 1;
 };
 
-/// Mean of a node's own samples and those of the others, within the bounds of speed.
-SpeedReport merged(const SpeedReport& own, const SpeedReport& told);
+/// Mean of the node's own samples and its peers' samples, weighted by sample count and clamped to
+/// the allowed range of speeds.
+SpeedReport weighted_mean(const SpeedReport& own, const SpeedReport& peers);
 
 }  // namespace sailgate::balancing
--- a/src/balancing/engine.hpp
+++ b/src/balancing/engine.hpp
@@ -1,4 +1,4 @@
-/// @file Engines as the store lists them, and what this node knows of each.
+/// @file Engine records as listed in the store, and this node's state for each engine.
 #pragma once
 
 #include <cstdint>
@@ -11,12 +11,13 @@
 
 namespace sailgate::balancing {
 
-/// One run of an engine, as it registered itself. An engine that starts again under its name has
-/// forgotten all prompts and requests, so that whatever is believed of an engine is kept by `id`.
+/// One run (process lifetime) of an engine, as it registered itself. An engine that restarts under
+/// the same name has lost its cached prompts and its requests, so all state about an engine is
+/// keyed by `id`, which is unique to the run.
 struct EngineRecord {
   std::string id;    ///< of this run; see run_id()
-  std::string name;  ///< kept over restarts: the key of its entry; empty: the same as `id`
-  std::optional<std::int64_t> started_ms;  ///< of this run, by the engine's clock, where it tells
+  std::string name;  ///< stable across restarts, key of the store entry; empty: same as `id`
+  std::optional<std::int64_t> started_ms;  ///< start of this run by the engine's clock, if reported
   std::string service;
   net::Endpoint endpoint;
   std::string zone;
@@ -26,31 +27,32 @@
   const std::string& entry_key() const { return name.empty() ? id : name; }
 };
 
-/// Names a run of an engine. Nodes that read the same entry give the same name, and a start that
-/// lies before the known one, since clocks are set back, makes another run just as well.
+/// Identifier of one run of an engine. All nodes derive the same identifier from the same entry. A
+/// start time earlier than the known one also denotes a new run, since clocks can be set back.
 inline std::string run_id(const std::string& name, std::optional<std::int64_t> started_ms) {
   return started_ms ? name + '@' + std::to_string(*started_ms) : name;
 }
 
-/// An engine with this node's own observations. Requests under way hold it by shared pointer, so it
-/// outlives its entry in the registry.
+/// An engine with this node's observations of it. Requests in flight hold it by shared pointer, so
+/// it can outlive its entry in the registry.
 struct Engine {
   EngineRecord record;
   int in_flight = 0;             ///< requests of this node at the engine
-  int peer_in_flight = 0;        ///< requests of other nodes there, as their beacons said
-  int idle_connections = 0;      ///< kept by this node
-  int consecutive_failures = 0;  ///< since the last good answer
-  net::TimePoint failed_at{};    ///< the last of them
-  net::TimePoint answered_at{};  ///< the last good answer to this node
-  bool awaiting_probe = false;   ///< fails for many nodes: another node tries it for all
-  bool zone_silent = false;      ///< nothing of its zone is heard: other engines come first
-  net::TimePoint avoid_until{};  ///< after a refusal or failure: other engines come first
-  EngineSpeed own_speed;         ///< as this node's exchanges tell
-  SpeedEstimate speed_estimate;  ///< as all nodes tell
-  double speed = 1;              ///< over the usual engine's of the service; the choice's input
-  SpeedStep speed_step;          ///< of `speed`, for the log
-  bool leaving = false;          ///< said so itself, or its entry is gone: no new requests
-  bool entry_unusable = false;   ///< its entry names no engine for now: no new requests
+  int peer_in_flight = 0;        ///< requests of other nodes at the engine, from their beacons
+  int idle_connections = 0;      ///< pooled by this node
+  int consecutive_failures = 0;  ///< since the last successful response
+  net::TimePoint failed_at{};    ///< time of the last failure
+  net::TimePoint answered_at{};  ///< time of the last successful response to this node
+  bool awaiting_probe = false;   ///< fails for several nodes; another node probes it for all
+  bool zone_silent = false;      ///< no contact with its zone: other engines are preferred
+  net::TimePoint
+      avoid_until{};      ///< after a refusal or failure: other engines are preferred until then
+  EngineSpeed own_speed;  ///< measured by this node's exchanges
+  SpeedEstimate speed_estimate;  ///< from the measurements of all nodes
+  double speed = 1;              ///< relative to the service's normal speed; used for selection
+  SpeedStep speed_step;          ///< of `speed`, for logging
+  bool leaving = false;         ///< it announced its shutdown or its entry is gone: no new requests
+  bool entry_unusable = false;  ///< its entry is currently invalid: no new requests
 
   bool usable() const { return !leaving && !record.draining && !entry_unusable; }
 };
--- a/src/balancing/engine_failures.hpp
+++ b/src/balancing/engine_failures.hpp
@@ -1,36 +1,39 @@
-/// @file Engines that fail for many nodes.
+/// @file Detection of engines that fail for several nodes.
 ///
-/// Answers engines that fail every request at once while their health check is good. Such an engine
-/// is always idle, so each node places its next request there; and with 84 nodes of some 20
-/// requests a second, each node that finds out by itself finds out by failing.
+/// An engine that fails every request immediately while its health check still passes always looks
+/// idle, so every node sends it the next request. With 84 nodes at about 20 requests per second
+/// each, many requests fail before every node has detected the fault by itself. Nodes therefore
+/// share their failure counts, and one node per zone probes the engine for the others.
 #pragma once
 
 #include "balancing/engine.hpp"
 
 namespace sailgate::balancing {
 
-/// Failures in a row, over all nodes, from which an engine is left to one node a zone to try. Tools
-/// fail one call in a hundred, so one or two failures tell nothing of an engine. With it 0.7 to 1.1
-/// of 100 requests fail where 3 of 27 engines fail all of theirs, without it 3.4 to 3.5 (84 nodes
-/// in virtual time). Not tuned: other numbers were not tried.
+/// Consecutive failures, summed over all nodes, from which only one node per zone probes the
+/// engine. One in a hundred tool calls fails, so one or two failures say little about an engine.
+/// With 3 of 27 engines failing all their requests, 0.7 to 1.1 % of the requests fail with this
+/// threshold and 3.4 to 3.5 % without the mechanism (84 nodes in virtual time). Other values have
+/// not been tried.
 inline constexpr int kSharedFailureThreshold = 3;
 
-/// Failures are told to other nodes this long: the longest that a node avoids an engine by itself
-/// is 2.4 s. All nodes use an engine again within 3.5 s of its mending (in virtual time).
+/// How long a failure is reported to other nodes. A node by itself avoids an engine for at most 2.4
+/// s. All nodes use a recovered engine again within 3.5 s (in virtual time).
 inline constexpr net::Millis kFailureReportTtl{2000};
 
-/// Whether this node's last requests at the engine failed, lately enough to be told.
+/// Whether this node's last requests to the engine failed recently enough to be reported.
 inline bool failed_lately(const Engine& engine, net::TimePoint now) {
   return engine.consecutive_failures > 0 && now < engine.failed_at + kFailureReportTtl;
 }
 
-/// Whether this node leaves an engine to another one to try.
-/// @param told_by_others failures in a row that the other nodes tell of.
-/// @param tries whether this node is the one of its zone that tries the engine.
-inline bool should_await_probe(const Engine& engine, int told_by_others, bool tries,
+/// Whether this node stops sending requests to the engine until another node has probed it
+/// successfully.
+/// @param peer_failures consecutive failures reported by the other nodes.
+/// @param is_prober whether this node is the one in its zone that probes the engine.
+inline bool should_await_probe(const Engine& engine, int peer_failures, bool is_prober,
                                net::TimePoint now) {
   const int own = failed_lately(engine, now) ? engine.consecutive_failures : 0;
-  return !tries && own + told_by_others >= kSharedFailureThreshold;
+  return !is_prober && own + peer_failures >= kSharedFailureThreshold;
 }
 
 }  // namespace sailgate::balancing
--- a/src/balancing/engine_registry.cpp
+++ b/src/balancing/engine_registry.cpp
@@ -26,14 +26,14 @@
   }
   const bool was_usable = known->usable();
   known->entry_unusable = false;
-  // A run that is leaving does not come back.
+  // Draining is final for a run.
   record.draining = record.draining || known->record.draining;
   record.service = known->record.service;
   known->record = std::move(record);
   if (was_usable && !known->usable() && on_unusable_) on_unusable_(*known);
 }
 
-void EngineRegistry::take_out(const EnginePointer& engine) {
+void EngineRegistry::detach(const EnginePointer& engine) {
   const bool was_usable = engine->usable();
   engine->leaving = true;
   auto& service = by_service_[engine->record.service];
@@ -44,18 +44,18 @@
 }
 
 void EngineRegistry::end_run(const EnginePointer& engine) {
-  ended_.insert(engine->record.id);
-  ended_in_order_.push_back(engine->record.id);
-  if (ended_in_order_.size() > kMostEnded) {
-    ended_.erase(ended_in_order_.front());
-    ended_in_order_.pop_front();
+  ended_runs_.insert(engine->record.id);
+  ended_runs_fifo_.push_back(engine->record.id);
+  if (ended_runs_fifo_.size() > kMaxEndedRuns) {
+    ended_runs_.erase(ended_runs_fifo_.front());
+    ended_runs_fifo_.pop_front();
   }
-  take_out(engine);
+  detach(engine);
 }
 
 void EngineRegistry::remove(const std::string& entry_key) {
   stale_.erase(entry_key);
-  if (const auto engine = at(entry_key)) take_out(engine);
+  if (const auto engine = at(entry_key)) detach(engine);
 }
 
 void EngineRegistry::mark_stale(const std::string& entry_key) {
@@ -68,8 +68,8 @@
 }
 
 void EngineRegistry::remove_stale() {
-  const auto gone = std::exchange(stale_, {});
-  for (const auto& entry_key : gone) remove(entry_key);
+  const auto stale = std::exchange(stale_, {});
+  for (const auto& entry_key : stale) remove(entry_key);
 }
 
 void EngineRegistry::replace(std::vector<EngineRecord> records, AbsentPolicy absent,
--- a/src/balancing/engine_registry.hpp
+++ b/src/balancing/engine_registry.hpp
@@ -1,4 +1,4 @@
-/// @file The engines of all services.
+/// @file Registry of the engines of all services.
 #pragma once
 
 #include <deque>
@@ -15,64 +15,67 @@
 
 using EnginePointer = std::shared_ptr<Engine>;
 
-/// Mirrors the store's list of engines: at each entry_key, which is named by the entry's key, the
-/// last run that was heard of. Not thread-safe.
+/// Mirrors the store's list of engines. Holds the latest known run for each entry key. Not
+/// thread-safe.
 class EngineRegistry {
  public:
-  /// What becomes of engines that a whole list lacks.
+  /// What replace() does with engines that are missing from the new list.
   enum class AbsentPolicy {
     kRemove,
     kMarkStale,  ///< see mark_stale()
   };
 
-  /// Adds or updates one engine. Another run at its entry_key ends the run before for good: what is
-  /// read of that one afterwards is old.
+  /// Adds or updates an engine. A record with a new run id for a known entry key ends the previous
+  /// run for good; later records of an ended run are outdated and ignored.
   void put(EngineRecord record);
-  /// The engine's entry is gone: it gets no new requests.
+  /// Removes an engine whose entry is gone; it gets no new requests.
   void remove(const std::string& entry_key);
-  /// The engine's entry is gone, perhaps only because the store was away: the engine is used on
-  /// until its entry is back or remove_stale() is called.
+  /// Marks an engine whose entry is missing, possibly only because the store was unavailable. The
+  /// engine stays in use until its entry is back or remove_stale() is called.
   void mark_stale(const std::string& entry_key);
-  /// The engine's entry names no engine: it gets no new requests until a usable entry comes.
+  /// Marks an engine whose entry is invalid. It gets no new requests until a valid entry arrives.
   void suspend(const std::string& entry_key);
-  /// Entries that are not back by now belong to engines that are gone.
+  /// Removes the engines that were marked stale and whose entries have not come back.
   void remove_stale();
-  /// Takes a whole list. @param absent what becomes of engines that are not in it. @param suspended
-  /// places whose entries name no engine.
+  /// Replaces the whole list.
+  /// @param absent what to do with engines missing from the list.
+  /// @param suspended keys of invalid entries.
   void replace(std::vector<EngineRecord> records, AbsentPolicy absent = AbsentPolicy::kRemove,
                const std::vector<std::string>& suspended = {});
 
-  /// @param id of a run. @return nullptr when there is no such engine.
+  /// @param id of a run.
+  /// @return nullptr if unknown.
   EnginePointer find(const std::string& id) const;
-  /// @return the last run at this entry_key; nullptr when there is none.
+  /// @return the latest run for this entry key; nullptr if there is none.
   EnginePointer at(const std::string& entry_key) const;
-  /// Whether another run has taken this one's entry_key: it has forgotten all and works on nothing.
-  bool has_ended(const std::string& id) const { return ended_.count(id) > 0; }
-  /// Engines of a service, usable or not.
+  /// Whether the run was superseded by a newer one; it has lost its cache and its requests.
+  bool has_ended(const std::string& id) const { return ended_runs_.count(id) > 0; }
+  /// All engines of a service, including unusable ones.
   const std::vector<EnginePointer>& of_service(const std::string& service) const;
   std::vector<EnginePointer> all() const;
   std::size_t size() const { return by_id_.size(); }
 
-  /// Called for each engine that stops being usable.
+  /// Called when an engine stops being usable.
   void on_unusable(std::function<void(const Engine&)> listener) {
     on_unusable_ = std::move(listener);
   }
-  /// Called for each run that another one follows, with both.
+  /// Called with the ended run and the record of its successor.
   void on_restart(std::function<void(const Engine& before, const EngineRecord& now)> listener) {
     on_restart_ = std::move(listener);
   }
 
  private:
-  /// Ended runs that are remembered: entries of them can be read late, but not for long.
-  static constexpr std::size_t kMostEnded = 4096;
+  /// Limit of remembered ended runs. Entries of an ended run can arrive late, but only for a short
+  /// time.
+  static constexpr std::size_t kMaxEndedRuns = 4096;
 
   void end_run(const EnginePointer& engine);
-  void take_out(const EnginePointer& engine);
+  void detach(const EnginePointer& engine);
 
   std::unordered_map<std::string, EnginePointer> by_entry_key_;
   std::unordered_map<std::string, EnginePointer> by_id_;
-  std::unordered_set<std::string> ended_;
-  std::deque<std::string> ended_in_order_;
+  std::unordered_set<std::string> ended_runs_;
+  std::deque<std::string> ended_runs_fifo_;
   std::unordered_map<std::string, std::vector<EnginePointer>> by_service_;
   std::unordered_set<std::string> stale_;
   std::function<void(const Engine&)> on_unusable_;
--- a/src/balancing/engine_selector.cpp
+++ b/src/balancing/engine_selector.cpp
@@ -12,51 +12,52 @@
 
 namespace {
 
-/// Cost of a round trip to another zone, in slots' shares.
-constexpr double kOtherZoneCost = 0.5;
-/// Cost between the first and the last place of a rendezvous order.
+/// Cost of a round trip to another zone, in units of an engine's full load.
+constexpr double kCrossZoneCost = 0.5;
+/// Cost difference between the first and the last engine of a rendezvous order.
 constexpr double kAffinityCost = 2.0;
-/// Cost of a new connection: half of an engine's slots may be busier there before a node goes where
-/// it has none. It makes each node keep to a few engines, other nodes to others. At 0.15, less than
-/// one request of six slots, loads heard late moved nodes on all the time: 295 nodes before 153
-/// engines opened a connection for one send in five.
+/// Cost of a new connection: a node opens one only if the engine's load is lower by half of its
+/// slots. This keeps each node on a few engines, and different nodes on different ones. At 0.15,
+/// less than one request at six slots, nodes with stale load data kept switching engines: 295 nodes
+/// with 153 engines opened a connection for one request in five.
 constexpr double kConnectCost = 0.5;
-/// Cost between the first and the last place of a program's order among the engines that keep the
-/// first part of its prompt, in slots' shares. Any of them has that part, so a less busy one is
-/// worth more than the one that other nodes would take; the order keeps nodes that hear of loads
-/// late from all choosing the same.
-constexpr double kPlacedCost = 0.5;
-/// Engines that lack the first part come after all that keep it and may still be used: reading it
-/// takes longer than the wait for a slot.
-constexpr double kAbsentCost = 4.0;
-/// Bounded loads: an engine beyond both bounds is only used when all are beyond them. The first is
-/// a share of its slots at the usual speed, the second a multiple of the service's mean load.
-constexpr double kSaturation = 0.85;
+/// Cost difference between the first and the last engine of a program's rendezvous order among the
+/// engines that have its prompt prefix cached, in units of an engine's full load. Since any of them
+/// can serve the prefix, low load counts more than agreeing with other nodes; the order keeps nodes
+/// with stale load data from all choosing the same engine.
+constexpr double kCachedAffinityCost = 0.5;
+/// Engines without the cached prefix rank after all that have it but stay eligible: prefilling the
+/// prefix takes longer than waiting for a slot.
+constexpr double kUncachedPromptCost = 4.0;
+/// Bounded loads: an engine above both bounds is used only if all engines are. The first is a share
+/// of its slots at normal speed, the second a multiple of the service's mean load.
+constexpr double kSaturationLoad = 0.85;
 constexpr double kSaturationOverMean = 1.25;
 
-/// A line stays at its engine up to these two bounds: all slots taken, and a multiple of the mean
-/// load. Beyond them a turn waits longer than its prompt takes to be read elsewhere.
-constexpr double kStayLoad = 1.0;
-constexpr double kStayOverMean = 1.5;
-
-/// Turns by which a line's gain from a faster engine is reckoned: the one at hand and one more.
-/// Programs hold several, but nobody knows how many are left.
-constexpr double kTurnsLeft = 2;
-/// The gain must be this multiple of the reading anew: speeds are known to some 15 in 100, and a
-/// move for nothing costs the engines what it was to save.
-constexpr double kGainOverReading = 2;
-
-/// Lines look for a faster engine where theirs has turned this slow. Engines that are slower
-/// for good get fewer programs instead: at half the speed a program with its pauses and ways takes
-/// some 1.4 times its time, which callers allow, and lines that leave press into the memory of the
-/// faster engines. At 0.75, where a quarter of the engines has half the usual speed, the busiest
-/// engine went from 1.28 to 2.08 of the mean and late programs from 1 to 6 of 2,270 (84 nodes, one
-/// run each).
-constexpr double kTurnedSlow = 0.4;
-
-/// Draw of a rendezvous order in which each engine is first for a share of the keys that follows
-/// its speed; at the usual speed the draw itself.
-double by_speed(double draw, double speed) {
+/// A line (sequence of turns that extend one prompt) stays at its engine while the load is below
+/// the larger of these two bounds: all slots in use, and a multiple of the mean load. Above them a
+/// turn waits longer than prefilling its prompt on another engine takes.
+constexpr double kStickyLoad = 1.0;
+constexpr double kStickyOverMean = 1.5;
+
+/// Number of turns over which the gain of moving a line to a faster engine is computed: the current
+/// one and one more. Programs usually have several, but the number left is unknown.
+constexpr double kTurnsAfterMove = 2;
+/// The gain must be at least this multiple of the prefill cost: speed estimates are accurate to
+/// about 15 %, and a needless move costs as much engine time as it was meant to save.
+constexpr double kMinGainOverPrefill = 2;
+
+/// Lines look for a faster engine only if theirs is at or below this speed. Permanently slower
+/// engines get fewer programs instead: at half the speed a program, including its pauses and
+/// network time, takes about 1.4 times as long, which callers tolerate, while lines that move put
+/// pressure on the memory of the faster engines. At 0.75, with a quarter of the engines at half
+/// speed, the load of the busiest engine rose from 1.28 to 2.08 of the mean and the number of late
+/// programs from 1 to 6 of 2,270 (84 nodes, one run each).
+constexpr double kSlowSpeed = 0.4;
+
+/// Transforms a rendezvous draw so that an engine comes first for a share of the keys proportional
+/// to its speed. Leaves the draw unchanged at normal speed.
+double weighted_by_speed(double draw, double speed) {
   if (speed == 1) return draw;
   return 1 - std::pow(1 - draw, 1 / speed);
 }
@@ -72,7 +73,7 @@
   }
 };
 
-/// Order of engines of the same rank.
+/// Random order among engines of equal rank.
 std::uint64_t tie_break(const Engine& engine, const SelectionQuery& query) {
   return XXH64(engine.record.id.data(), engine.record.id.size(), query.draw);
 }
@@ -86,25 +87,26 @@
   return engine.awaiting_probe || engine.zone_silent || query.now < engine.avoid_until;
 }
 
-/// With a key connections don't count: moving a program means reading its prompt anew.
-double keyed_cost(const Engine& engine, const SelectionQuery& query) {
+/// Connections are ignored for requests with an affinity key: moving a program costs a prefill of
+/// its whole prompt.
+double affinity_cost(const Engine& engine, const SelectionQuery& query) {
   const auto& id = engine.record.id;
   if (query.prompt == nullptr) {
-    return kAffinityCost * by_speed(rendezvous_draw(query.affinity_key, id), engine.speed);
+    return kAffinityCost * weighted_by_speed(rendezvous_draw(query.affinity_key, id), engine.speed);
   }
   if (query.prompt->hold(id)) {
-    const double draw = by_speed(rendezvous_draw(query.affinity_key, id), engine.speed);
-    return kPlacedCost * draw + load_of(engine);
+    const double draw = weighted_by_speed(rendezvous_draw(query.affinity_key, id), engine.speed);
+    return kCachedAffinityCost * draw + load_of(engine);
   }
-  return kAbsentCost + kAffinityCost * rendezvous_draw(query.prompt->order_key, id);
+  return kUncachedPromptCost + kAffinityCost * rendezvous_draw(query.prompt->order_key, id);
 }
 
 Rank rank(const Engine& engine, const SelectionQuery& query, double saturation) {
   const double load = load_of(engine);
-  const double zone = engine.record.zone == query.zone ? 0.0 : kOtherZoneCost;
+  const double zone = engine.record.zone == query.zone ? 0.0 : kCrossZoneCost;
   const double connect = engine.idle_connections > 0 ? 0.0 : kConnectCost;
   const bool keyed = !query.affinity_key.empty();
-  const double preference = keyed ? keyed_cost(engine, query) : load + connect;
+  const double preference = keyed ? affinity_cost(engine, query) : load + connect;
   return {avoided(engine, query), load >= saturation, preference + zone};
 }
 
@@ -113,29 +115,30 @@
          query.excluded.end();
 }
 
-/// Engine of the line's last turn, if the line should stay there.
-EnginePointer engine_to_stay_at(const EngineRegistry& registry, const SelectionQuery& query,
-                                double mean) {
+/// The engine of the line's last turn, if the line should stay there; otherwise nullptr.
+EnginePointer sticky_engine(const EngineRegistry& registry, const SelectionQuery& query,
+                            double mean) {
   if (query.line_engine.empty()) return nullptr;
   auto engine = registry.find(query.line_engine);
   if (engine == nullptr || engine->record.service != query.service) return nullptr;
   if (!engine->usable() || avoided(*engine, query)) return nullptr;
   if (excluded(query, *engine)) return nullptr;
-  const double bound = std::max(kStayLoad, kStayOverMean * mean);
+  const double bound = std::max(kStickyLoad, kStickyOverMean * mean);
   return load_of(*engine) < bound ? engine : nullptr;
 }
 
-/// Time that one more request takes, over that at an idle engine of the usual speed: requests
-/// beyond the slots wait for a whole batch.
-double turn_time(const Engine& engine) {
+/// Time of one additional request, relative to an idle engine at normal speed. Requests beyond the
+/// slots wait for a whole batch.
+double relative_turn_time(const Engine& engine) {
   const double requests = engine.in_flight + engine.peer_in_flight + 1;
   return std::max(1.0, requests / engine.record.slots) / engine.speed;
 }
 
-/// Whether a line's next turns end sooner at the other engine, its prompt read anew there.
+/// Whether moving pays off over the line's next turns, including the prefill at the new engine.
 bool worth_moving(const Engine& from, const Engine& to, double turn_to_prefill_ratio) {
-  const double gain = kTurnsLeft * turn_to_prefill_ratio * (turn_time(from) - turn_time(to));
-  return gain > kGainOverReading / to.speed;
+  const double gain =
+      kTurnsAfterMove * turn_to_prefill_ratio * (relative_turn_time(from) - relative_turn_time(to));
+  return gain > kMinGainOverPrefill / to.speed;
 }
 
 }  // namespace
@@ -154,27 +157,27 @@
 EnginePointer select_engine(const EngineRegistry& registry, const SelectionQuery& query) {
   const auto& engines = registry.of_service(query.service);
   const double mean = mean_load(engines);
-  auto stay = engine_to_stay_at(registry, query, mean);
-  const bool slow = stay != nullptr && stay->speed <= kTurnedSlow;
+  auto sticky = sticky_engine(registry, query, mean);
+  const bool slow = sticky != nullptr && sticky->speed <= kSlowSpeed;
   const bool may_move = slow && query.turn_to_prefill_ratio > 0;
-  if (stay != nullptr && !may_move) return stay;
+  if (sticky != nullptr && !may_move) return sticky;
   const EnginePointer* best = nullptr;
   Rank best_rank{};
-  const double saturation = std::max(kSaturation, kSaturationOverMean * mean);
+  const double saturation = std::max(kSaturationLoad, kSaturationOverMean * mean);
   for (const auto& engine : engines) {
     if (!engine->usable() || excluded(query, *engine)) continue;
-    if (may_move && !worth_moving(*stay, *engine, query.turn_to_prefill_ratio)) continue;
+    if (may_move && !worth_moving(*sticky, *engine, query.turn_to_prefill_ratio)) continue;
     const auto candidate = rank(*engine, query, saturation);
     if (best != nullptr && best_rank < candidate) continue;
-    // Only among equals does the hash of the engine's name matter.
+    // The hash is needed only for engines of equal rank.
     const bool better = best == nullptr || candidate < best_rank ||
                         tie_break(*engine, query) < tie_break(**best, query);
     if (!better) continue;
     best = &engine;
     best_rank = candidate;
   }
-  const bool has_room = best != nullptr && !best_rank.avoided && !best_rank.saturated;
-  if (best == nullptr || (may_move && !has_room)) return stay;
+  const bool acceptable = best != nullptr && !best_rank.avoided && !best_rank.saturated;
+  if (best == nullptr || (may_move && !acceptable)) return sticky;
   return *best;
 }
 
--- a/src/balancing/engine_selector.hpp
+++ b/src/balancing/engine_selector.hpp
@@ -1,4 +1,4 @@
-/// @file Which engine serves a request.
+/// @file Selection of the engine that serves a request.
 #pragma once
 
 #include <string>
@@ -9,37 +9,39 @@
 
 namespace sailgate::balancing {
 
-/// What the choice depends on.
+/// Input of select_engine(). A line is a sequence of turns of a program in which each turn's prompt
+/// extends the previous one.
 struct SelectionQuery {
   std::string service;
-  std::string line_engine;  ///< has the whole prompt cached but for the new input; empty: none
-  /// Usual time of a turn over that in which its prompt is read anew; 0: lines stay, however slow.
+  std::string line_engine;  ///< has the line's prompt cached, except for the new input; empty: none
+  /// Typical time of a turn divided by the time to prefill its prompt; 0: unknown, lines never
+  /// leave a slow engine.
   double turn_to_prefill_ratio = 0;
   std::string affinity_key;  ///< requests with the same key share long prompts; empty: none
-  const PromptReplicas* prompt = nullptr;  ///< engines that keep the first part; nullptr: not known
-  std::string zone;                        ///< of this node
+  const PromptReplicas* prompt =
+      nullptr;       ///< engines with the shared prompt prefix cached; nullptr: unknown
+  std::string zone;  ///< of this node
   net::TimePoint now;
-  std::uint64_t draw = 0;             ///< random tie-break
-  std::vector<std::string> excluded;  ///< engines this request was already offered to
+  std::uint64_t draw = 0;             ///< random value for tie-breaking
+  std::vector<std::string> excluded;  ///< engines that this request was already sent to
 };
 
-/// Mean over the usable engines of requests in flight per slot of the usual speed, those of other
-/// nodes among them: a slot at half the speed counts for half.
+/// Mean requests in flight per slot over the usable engines, including those of other nodes. Slots
+/// are weighted by speed: a slot at half speed counts as half a slot.
 double mean_load(const std::vector<EnginePointer>& engines);
 
-/// Pure decision over the registry's state: no clock, no randomness of its own.
+/// A pure function of the query and the registry: uses no clock and no random source of its own.
 ///
-/// The engine of the line's last turn is kept as long as it is usable, not avoided and not much
-/// busier than the others, nor so slow that the line's next turns gain more elsewhere than its
-/// prompt costs to read anew. Else engines are ranked by, in order: not avoided, load below
-/// saturation, then cost. Cost sums the share of slots that are busy, a charge for another zone and
-/// one for a new connection. With an affinity key the distance from the top of the key's rendezvous
-/// order takes the place of slots and connections, so that all nodes agree on a key's engine
-/// without talking to each other. Where the engines that keep the first part of the prompt are
-/// known, these come first: those of this zone, then the others, each by the key's order and its
-/// load; then the next in the order of that first part.
+/// The line's last engine is kept as long as it is usable, not avoided, not much busier than the
+/// others, and not so slow that moving saves more time than the prefill costs. Otherwise engines
+/// are ranked lexicographically: not avoided, load below saturation, cost. The cost is the load
+/// plus a penalty for another zone and one for a new connection. With an affinity key, the position
+/// in the key's rendezvous order replaces load and connection, so that all nodes choose the same
+/// engine for a key without coordination. If the engines that have the shared prompt prefix cached
+/// are known, they rank first: those of this zone, then the others, each by the key's rendezvous
+/// order and its load; the remaining engines follow in the rendezvous order of the prefix.
 ///
-/// @return nullptr when no usable engine is left.
+/// @return nullptr if no usable engine is left.
 EnginePointer select_engine(const EngineRegistry& registry, const SelectionQuery& query);
 
 }  // namespace sailgate::balancing
--- a/src/balancing/exchange_times.hpp
+++ b/src/balancing/exchange_times.hpp
@@ -1,4 +1,4 @@
-/// @file What this node's own exchanges tell of engines' speed.
+/// @file Measurement of engine speed from this node's own exchanges.
 #pragma once
 
 #include <array>
@@ -10,57 +10,59 @@
 
 namespace sailgate::balancing {
 
-/// One stream that an engine ran whole.
+/// Timing of a stream that an engine completed.
 struct StreamTimes {
-  double first_event_ms = 0;     ///< from the sending to the first event
-  double mean_event_gap_ms = 0;  ///< between events; 0: not known
-  double total_ms = 0;           ///< from the sending to the end
-  bool prompt_cached = false;    ///< the engine ran the line's last turn
+  double first_event_ms = 0;     ///< from sending the request to the first event
+  double mean_event_gap_ms = 0;  ///< mean time between events; 0: unknown
+  double total_ms = 0;           ///< from sending the request to the end of the stream
+  bool prompt_cached = false;    ///< the engine also ran the line's previous turn
 };
 
-/// Time of like exchanges over all engines of a service. Engines that work in batches take longer
-/// for each step the more requests they run, so the time is what is usual, what that many requests
-/// add, and what the engine is: only the last is its speed. Deterministic, not thread-safe.
+/// Typical time of similar exchanges over all engines of a service, adjusted for load. Engines that
+/// batch requests take longer per step the more requests they run, so a duration is modelled as
+/// typical time, load term and engine speed; only the last is attributed to the engine.
+/// Deterministic, not thread-safe.
 class LoadAdjustedTime {
  public:
-  /// @return natural logarithm of the sample over the usual time for such a load: the engine's
-  /// slowness; 0 while the usual time is not known.
+  /// @return the engine's slowness: natural logarithm of the sample divided by the typical time at
+  /// this load; 0 while the typical time is unknown.
   double add(double milliseconds, const Engine& engine);
-  const RunningMedian& usual() const { return usual_; }
+  const RunningMedian& usual() const { return typical_; }
 
  private:
-  /// Loads by quarters of the slots, to twice the slots.
-  static constexpr int kLevelsPerSlots = 4;
-  static constexpr int kLevels = 2 * kLevelsPerSlots + 1;
+  /// Load levels in quarters of the slots, up to twice the slots.
+  static constexpr int kLevelsPerFullLoad = 4;
+  static constexpr int kLevels = 2 * kLevelsPerFullLoad + 1;
   static int level_of(const Engine& engine);
 
-  RunningMedian usual_;
-  std::array<double, kLevels> added_{};  ///< by the load, natural logarithm
+  RunningMedian typical_;
+  std::array<double, kLevels> load_terms_{};  ///< by load level, as natural logarithms
 };
 
-/// Learns the usual times of services and routes, and each engine's speed against them.
+/// Learns the typical times of services and routes, and each engine's speed relative to them.
 /// Deterministic, not thread-safe.
 class ExchangeTimes {
  public:
   void record_stream(Engine& engine, const StreamTimes& times, net::TimePoint now);
-  /// An answer that was passed on whole. @param route requests of a route are alike.
+  /// Records a completed non-streaming call.
+  /// @param route requests of the same route are comparable.
   void record_plain_call(Engine& engine, const std::string& route, double milliseconds,
                          net::TimePoint now);
-  /// Time of a turn over the time in which its prompt is read anew, at the usual engine; 0: not
-  /// known.
+  /// Time of a turn divided by the time to prefill its prompt, at an engine of normal speed; 0:
+  /// unknown.
   double turn_to_prefill_ratio(const std::string& service) const;
 
  private:
   struct Service {
     LoadAdjustedTime events;
-    RunningMedian first_kept;
-    RunningMedian first_anew;
-    RunningMedian turn_kept;
+    RunningMedian first_event_cached;
+    RunningMedian first_event_uncached;
+    RunningMedian turn_cached;
     std::map<std::string, LoadAdjustedTime> routes;
   };
 
-  /// Configurations may grow by many routes; the usual times of so many of a service are kept.
-  static constexpr std::size_t kMostRoutes = 256;
+  /// Limit of routes per service with learned times, since configurations can add many routes.
+  static constexpr std::size_t kMaxRoutes = 256;
 
   std::map<std::string, Service> services_;
 };
--- a/src/balancing/line_placements.cpp
+++ b/src/balancing/line_placements.cpp
@@ -6,16 +6,16 @@
                           const std::string& engine) {
   const auto [entry, added] = programs_.try_emplace(program);
   if (added) {
-    by_use_.push_front(program);
-    entry->second.use = by_use_.begin();
+    lru_.push_front(program);
+    entry->second.lru_position = lru_.begin();
   } else {
-    by_use_.splice(by_use_.begin(), by_use_, entry->second.use);
+    lru_.splice(lru_.begin(), lru_, entry->second.lru_position);
   }
   entry->second.engine_by_line[line] = engine;
   entry->second.last_engine = engine;
-  if (programs_.size() <= most_programs_) return;
-  programs_.erase(by_use_.back());
-  by_use_.pop_back();
+  if (programs_.size() <= max_programs_) return;
+  programs_.erase(lru_.back());
+  lru_.pop_back();
 }
 
 std::string LinePlacements::find(const std::string& program, const std::string& line) const {
--- a/src/balancing/line_placements.hpp
+++ b/src/balancing/line_placements.hpp
@@ -1,7 +1,8 @@
-/// @file Which engine the last turn of each line of turns ran at.
+/// @file Tracks the engine that ran the last turn of each line.
 ///
-/// A turn's prompt holds all of its line before it, which is cached at the engine that ran the last
-/// turn. Anywhere else it is read anew, at the cost of several turns' own input.
+/// A line is a sequence of turns of a program in which each turn's prompt extends the previous one.
+/// The engine that ran the last turn has that prompt cached; any other engine must prefill it,
+/// which costs as much as the new input of several turns.
 #pragma once
 
 #include <cstddef>
@@ -11,16 +12,16 @@
 
 namespace sailgate::balancing {
 
-/// Bounded: the programs that were used longest ago are forgotten first. Deterministic, not
+/// LRU map: evicts the least recently used programs beyond its capacity. Deterministic, not
 /// thread-safe.
 class LinePlacements {
  public:
-  explicit LinePlacements(std::size_t most_programs) : most_programs_(most_programs) {}
+  explicit LinePlacements(std::size_t max_programs) : max_programs_(max_programs) {}
 
-  /// A turn of the line ended well at the engine.
+  /// Records that a turn of the line completed successfully at the engine.
   void note(const std::string& program, const std::string& line, const std::string& engine);
-  /// Engine of the line's last turn, or of the program's last turn when the line has none: a
-  /// sub-agent goes on from its parent's prompt. Empty: not known.
+  /// Engine of the line's last turn. For a new line, engine of the program's last turn, because a
+  /// sub-agent continues its parent's prompt. Empty if unknown.
   std::string find(const std::string& program, const std::string& line) const;
   std::size_t programs() const { return programs_.size(); }
 
@@ -28,12 +29,12 @@
   struct Program {
     std::unordered_map<std::string, std::string> engine_by_line;
     std::string last_engine;
-    std::list<std::string>::iterator use;
+    std::list<std::string>::iterator lru_position;
   };
 
-  std::size_t most_programs_;
+  std::size_t max_programs_;
   std::unordered_map<std::string, Program> programs_;
-  std::list<std::string> by_use_;  ///< programs, those used last first
+  std::list<std::string> lru_;  ///< program names, most recently used first
 };
 
 }  // namespace sailgate::balancing
--- a/src/balancing/prompt_demand.hpp
+++ b/src/balancing/prompt_demand.hpp
@@ -1,7 +1,7 @@
-/// @file How many requests of late begin with each shared prompt.
+/// @file Recent request counts per shared prompt.
 ///
-/// Answers prompts of very different demand: one that a fifth of all requests begin with needs more
-/// engines than one that is asked for once a second.
+/// Demand differs widely between prompts: one that starts a fifth of all requests needs more
+/// engines than one that is requested once a second.
 #pragma once
 
 #include <array>
@@ -14,29 +14,33 @@
 
 namespace sailgate::balancing {
 
-/// Requests by prompt_key().
+/// Request counts by prompt_key().
 using PromptCounts = std::map<std::int32_t, std::int32_t>;
 
-/// Names a shared prompt of a service in the messages of nodes. Two prompts with the same key share
-/// their engines, which costs a reading now and then.
+/// Identifies a service's shared prompt in messages between nodes. Two prompts whose keys collide
+/// share their engines, which costs an occasional prefill.
 std::int32_t prompt_key(const std::string& service, const std::string& prompt);
-/// Whether the key is of a prompt of the service, or of one whose name has the same 8-bit digest.
+/// Whether the key belongs to a prompt of the service, or of one whose name has the same 8-bit
+/// hash.
 bool is_prompt_of(std::int32_t key, const std::string& service);
 
-/// This node's own requests. Bounded, deterministic, not thread-safe.
+/// Counts this node's own requests in a sliding window. Bounded, deterministic, not thread-safe.
 class PromptDemand {
  public:
-  /// Long enough that a prompt asked for a few times a second is counted well, short enough that a
-  /// prompt whose demand rises has its engines before a queue of several seconds stands there.
+  /// Long enough to count a prompt with a few requests per second reliably, short enough to add
+  /// engines for a prompt with rising demand before a queue of several seconds builds up.
   static constexpr net::Millis kWindow{5000};
-  /// Prompts told to other nodes: what is asked for less often needs the fewest engines anyway.
-  static constexpr std::size_t kMostTold = 32;
+  /// Limit of prompts reported to other nodes. Less frequent prompts get the minimum number of
+  /// engines anyway.
+  static constexpr std::size_t kMaxReportedPrompts = 32;
 
-  /// A request that begins with the prompt came in. @param tokens of the shared prompt.
+  /// Records a request that begins with the prompt.
+  /// @param tokens of the shared prompt.
   void note(std::int32_t prompt, std::int64_t tokens, net::TimePoint now);
-  /// The prompts asked for most often within the window, at most kMostTold.
+  /// The most frequent prompts within the window, at most kMaxReportedPrompts, to be reported to
+  /// other nodes.
   PromptCounts told(net::TimePoint now) const;
-  /// Mean size of a service's prompts of the window; 0: none.
+  /// Mean size of the service's prompts within the window; 0 if there are none.
   double mean_tokens(const std::string& service, net::TimePoint now) const;
 
  private:
@@ -45,20 +49,20 @@
     std::int64_t tokens = 0;
   };
   using Prompts = std::map<std::int32_t, Prompt>;
-  /// Requests of one part of the window.
-  struct Part {
-    std::int64_t number = -1;  ///< counted from the clock's start
+  /// Requests of one time slice of the window.
+  struct Slice {
+    std::int64_t index = -1;  ///< index of the slice since the clock's epoch
     Prompts prompts;
   };
 
-  static constexpr std::size_t kParts = 10;
-  /// A part holds no more prompts: prompts that nobody shares would fill memory.
-  static constexpr std::size_t kMostInPart = 1024;
+  static constexpr std::size_t kSlices = 10;
+  /// Limit of prompts per slice; otherwise prompts that are not shared would fill the memory.
+  static constexpr std::size_t kMaxPromptsPerSlice = 1024;
 
-  static std::int64_t part_number(net::TimePoint now);
-  Prompts within_window(net::TimePoint now) const;
+  static std::int64_t slice_index(net::TimePoint now);
+  Prompts counts_in_window(net::TimePoint now) const;
 
-  std::array<Part, kParts> parts_;
+  std::array<Slice, kSlices> slices_;
 };
 
 }  // namespace sailgate::balancing
--- a/src/balancing/prompt_placement.hpp
+++ b/src/balancing/prompt_placement.hpp
@@ -1,8 +1,9 @@
-/// @file Which engines keep each shared prompt.
+/// @file Assignment of shared prompts to the engines that cache them.
 ///
-/// Answers programs that begin with one of a few long shared prompts. Placed by the program alone,
-/// every engine reads every prompt and its memory cannot keep them beside its running requests;
-/// placed at one engine a prompt, the engine of a prompt in demand is overrun.
+/// Programs begin with one of a few long shared prompts. If programs were distributed regardless of
+/// their prompt, every engine would prefill every prompt and could not hold them in memory beside
+/// its running requests. With one engine per prompt, the engines of popular prompts would be
+/// overloaded.
 #pragma once
 
 #include <cstdint>
@@ -17,79 +18,81 @@
 
 namespace sailgate::balancing {
 
-/// Engines of one shared prompt.
+/// Engines assigned to one shared prompt.
 struct PromptReplicas {
   using Engines = std::unordered_set<std::string>;
 
-  std::string order_key;  ///< of the rendezvous order in which other engines come next
-  Engines engines;        ///< that keep the prompt
+  std::string order_key;  ///< key of the rendezvous order of the remaining engines
+  Engines engines;        ///< engines that cache the prompt
 
   bool hold(const std::string& engine) const { return engines.count(engine) > 0; }
 };
 
-/// The number of engines of a prompt changed.
+/// A change of a prompt's number of engines.
 struct ReplicaCountChange {
   std::int32_t prompt = 0;
   int before = 0;  ///< 0: the prompt is new
-  int after = 0;   ///< 0: nobody asks for it any more
+  int after = 0;   ///< 0: the prompt is no longer requested
   std::int32_t requests = 0;
   std::int32_t all_requests = 0;
 };
 
-/// Prompts that an engine keeps on average where its memory allows: one copy of a prompt for each
-/// zone and a few for the prompts in demand, so that the load of an engine is that of several
-/// prompts. @param memory_tokens of an engine, @param prompt_tokens mean of the prompts; 0:
-/// unknown.
+/// Mean number of prompts per engine, as far as memory allows: one copy of each prompt per zone and
+/// a few more of the popular ones, so that each engine's load comes from several prompts.
+/// @param memory_tokens memory of an engine; 0: unknown.
+/// @param prompt_tokens mean size of the prompts; 0: unknown.
 double prompts_per_engine(std::int64_t memory_tokens, double prompt_tokens);
 
-/// Places of the prompts of one service: a function of the counts, the engines and the numbers of
-/// engines before, which settle to within one engine whatever they were. Deterministic, not
-/// thread-safe.
+/// Assigns the prompts of one service to engines. The result depends on the request counts, the
+/// engines and the previous numbers of engines; from any starting point the numbers converge to
+/// within one engine of each other. Deterministic, not thread-safe.
 class PromptPlacement {
  public:
-  /// Takes over what is asked for and which engines there are.
-  /// @param counts of the service's prompts, over all nodes.
+  /// Updates the assignment to the given demand and engines.
+  /// @param counts requests per prompt of the service, over all nodes.
   std::vector<ReplicaCountChange> update(const PromptCounts& counts,
                                          const std::vector<EnginePointer>& engines,
                                          double prompts_per_engine);
 
-  /// Places of a prompt; one that was not counted yet gets an equal share of the engines.
+  /// Engines of a prompt. A prompt without counted requests gets an equal share of the engines.
   const PromptReplicas& replicas(std::int32_t prompt, const std::vector<EnginePointer>& engines);
 
-  std::size_t prompts() const { return engines_wanted_.size(); }
-  /// Sum over the prompts.
+  std::size_t prompts() const { return engine_counts_.size(); }
+  /// Number of assigned (prompt, engine) pairs.
   std::size_t copies() const;
 
  private:
-  /// Engines of a zone in the order in which they are to keep a prompt.
+  /// Engines of a zone in the prompt's rendezvous order.
   struct OrderedZone {
-    double first = 0;  ///< in [0, 1): the zone with the least is the first to take a copy
-    int wanted = 0;    ///< engines that are to keep the prompt
+    double first = 0;  ///< in [0, 1): the zone with the lowest value gets the first copy
+    int wanted = 0;    ///< number of engines to assign in this zone
     std::vector<const std::string*> engines;
   };
   using Order = std::vector<OrderedZone>;
-  /// Prompts that were placed so far at each engine.
+  /// Number of prompts assigned to each engine so far.
   using Copies = std::unordered_map<std::string, int>;
 
   static Order order(const std::string& key, const std::vector<EnginePointer>& engines);
-  /// Zones take turns, by their sizes: a prompt with a few engines has some in each zone.
-  static void share_out(Order& zones, int wanted);
-  /// The first so many engines of the order that keep fewer prompts than the bound.
-  static PromptReplicas::Engines take(Order zones, int wanted, int bound, Copies& copies);
-  /// Adds engines of a zone that keep fewer than `most` prompts. @return whether these are enough.
-  static bool take_of_zone(const OrderedZone& zone, int most, Copies& copies,
-                           PromptReplicas::Engines& taken);
-  /// Share of all copies, from the requests that were counted.
+  /// Distributes the copies over the zones in proportion to their sizes, so that even a prompt with
+  /// few engines has some in each zone.
+  static void distribute_over_zones(Order& zones, int wanted);
+  /// Assigns the first engines of each zone's order that have fewer prompts than the limit.
+  static PromptReplicas::Engines assign(Order zones, int wanted, int bound, Copies& copies);
+  /// Assigns engines of a zone that have fewer than `limit` prompts.
+  /// @return whether the zone has all its copies.
+  static bool assign_in_zone(const OrderedZone& zone, int limit, Copies& copies,
+                             PromptReplicas::Engines& taken);
+  /// Target number of engines, in proportion to the prompt's share of the requests.
   double wanted(std::int32_t requests, std::size_t engines) const;
   int bounded(double wanted, std::size_t engines) const;
-  void place_all(const std::vector<EnginePointer>& engines);
+  void rebuild(const std::vector<EnginePointer>& engines);
 
   double prompts_an_engine_ = 0;
   std::int32_t all_requests_ = 0;
   std::size_t counted_prompts_ = 0;
-  std::size_t engines_ = 0;  ///< usable ones at the last update
+  std::size_t engines_ = 0;  ///< usable engines at the last update
   std::uint64_t engines_digest_ = 0;
-  std::map<std::int32_t, int> engines_wanted_;  ///< of each prompt that was counted
+  std::map<std::int32_t, int> engine_counts_;  ///< number of engines by prompt
   std::map<std::int32_t, PromptReplicas> places_;
 };
 
--- a/src/balancing/rendezvous.hpp
+++ b/src/balancing/rendezvous.hpp
@@ -1,4 +1,4 @@
-/// @file Rendezvous order: any node puts engines in the same order for a key, without asking.
+/// @file Rendezvous hashing: all nodes rank engines for a key identically without coordination.
 #pragma once
 
 #include <xxhash.h>
@@ -7,11 +7,11 @@
 
 namespace sailgate::balancing {
 
-/// Uniform in [0, 1) for a pair of key and engine.
+/// Hash of a key and an engine, uniformly distributed in [0, 1).
 inline double rendezvous_draw(const std::string& key, const std::string& engine_id) {
   const auto seed = XXH64(engine_id.data(), engine_id.size(), 0);
   const auto hash = XXH64(key.data(), key.size(), seed);
-  // As many bits as a double holds: with all of them the largest would be rounded to 1.
+  // Keeps the 53 bits that a double can represent; with all 64 the largest hashes would round to 1.
   constexpr unsigned kSurplusBits = 11;
   return static_cast<double>(hash >> kSurplusBits) * 0x1p-53;
 }
--- a/src/balancing/speed_step.hpp
+++ b/src/balancing/speed_step.hpp
@@ -1,4 +1,4 @@
-/// @file A speed in coarse steps, for the log.
+/// @file Quantized engine speed for logging.
 #pragma once
 
 #include <cmath>
@@ -7,14 +7,15 @@
 
 namespace sailgate::balancing {
 
-/// Steps of a factor of the square root of two; 0 is the usual speed. Deterministic.
+/// Quantizes a speed to steps of a factor of sqrt(2), with hysteresis; 0 is normal speed.
+/// Deterministic.
 class SpeedStep {
  public:
-  /// Whether the speed has come to another step, to be logged: a speed near the border of two does
-  /// not go to and fro, and an engine has one line in a while.
-  bool moved(double speed, net::TimePoint now) {
+  /// Whether the speed has reached another step and should be logged. Hysteresis avoids repeated
+  /// messages for a speed near a boundary, and each engine is logged at most once per interval.
+  bool should_log(double speed, net::TimePoint now) {
     const double steps = kStepsPerDoubling * std::log2(speed);
-    if (std::abs(steps - value_) < kLeastMove || now < logged_at_ + kPause) return false;
+    if (std::abs(steps - value_) < kMinChange || now < logged_at_ + kMinLogInterval) return false;
     value_ = static_cast<int>(std::lround(steps));
     logged_at_ = now;
     return true;
@@ -23,10 +24,10 @@
 
  private:
   static constexpr double kStepsPerDoubling = 2;
-  /// More than half a step, so that the border lies elsewhere on the way back.
-  static constexpr double kLeastMove = 0.75;
-  /// 60 engines that all change write some 30 lines a second.
-  static constexpr net::Millis kPause{2000};
+  /// More than half a step, so that the thresholds differ by direction.
+  static constexpr double kMinChange = 0.75;
+  /// With this interval, 60 engines that change all the time write about 30 lines per second.
+  static constexpr net::Millis kMinLogInterval{2000};
 
   int value_ = 0;
   net::TimePoint logged_at_{};
--- a/src/balancing/unusable_entry.hpp
+++ b/src/balancing/unusable_entry.hpp
@@ -1,4 +1,4 @@
-/// @file Entries of the list of engines that name no engine to use.
+/// @file Validation errors of entries in the engine list.
 #pragma once
 
 #include <stdexcept>
@@ -6,17 +6,18 @@
 
 namespace sailgate::balancing {
 
-/// Others than engines may write into the list. Closed list of what is wrong with an entry.
+/// What is wrong with an entry. Processes other than engines can write to the list, so its entries
+/// must be validated.
 enum class EntryFault {
-  kUnreadable,     ///< bytes that are no object
-  kFieldMissing,   ///< a field that every engine tells is not there
-  kFieldMistyped,  ///< a field is of another type, or outside its range
+  kUnreadable,     ///< not a JSON object
+  kFieldMissing,   ///< a required field is missing
+  kFieldMistyped,  ///< a field has the wrong type or is out of range
   kUnknownState,
-  kNoAddress,     ///< the address cannot be read
-  kStartMissing,  ///< the other engines tell their starts
+  kNoAddress,     ///< the address cannot be parsed
+  kStartMissing,  ///< no start time although the other engines report theirs
 };
 
-/// Stable name, for logs.
+/// Stable name for logs.
 inline const char* name_of(EntryFault fault) {
   switch (fault) {
     case EntryFault::kUnreadable:
@@ -35,10 +36,10 @@
   return "";
 }
 
-/// An entry names no engine to use.
+/// Thrown for an entry that does not describe a usable engine.
 class UnusableEntry : public std::runtime_error {
  public:
-  /// @param field that is at fault; empty: the whole entry.
+  /// @param field name of the invalid field; empty: the entry as a whole.
   explicit UnusableEntry(EntryFault fault, const std::string& field = "")
       : std::runtime_error(std::string(name_of(fault)) + (field.empty() ? "" : ": " + field)),
         fault_(fault) {}
--- a/src/balancing/zone_reach.hpp
+++ b/src/balancing/zone_reach.hpp
@@ -1,7 +1,8 @@
-/// @file Whether the engines of another zone can be reached, from signs of the whole zone.
+/// @file Detects whether the engines of another zone can be reached, from contacts with the whole
+/// zone.
 ///
-/// Answers a zone that is cut off: without it each node finds out by a time-out of its own at each
-/// engine there, with callers waiting.
+/// Without it, when a zone is cut off, each node would have to run into a timeout at every engine
+/// there while callers wait.
 #pragma once
 
 #include <map>
@@ -11,24 +12,25 @@
 
 namespace sailgate::balancing {
 
-/// Signs are news of the zone's nodes, answers of its engines and connections that came up there.
-/// Deterministic, not thread-safe.
+/// Contacts are messages from the zone's nodes, responses of its engines and connections
+/// established to them. Deterministic, not thread-safe.
 class ZoneReachability {
  public:
-  /// Something of the zone was heard at that time.
+  /// Records a contact with the zone at the given time.
   void record_contact(const std::string& zone, net::TimePoint at);
-  /// False when a zone that was heard has been silent for a while. Its engines come last then; they
-  /// are not given up, since all its nodes may be down while its engines are well.
+  /// False if a known zone has had no contact for some time. Its engines then rank last but stay
+  /// eligible, because all nodes of a zone can be down while its engines work.
   bool reachable(const std::string& zone, net::TimePoint now) const;
-  /// Time since the last sign of a zone; 0 for one that was never heard.
+  /// Time since the last contact; 0 for an unknown zone.
   net::Millis silent_for(const std::string& zone, net::TimePoint now) const;
-  /// Whether to try a connection to one of its engines now. Each answer of true counts as a try.
+  /// Whether to open a probe connection to one of the zone's engines now. Returning true counts as
+  /// a probe.
   bool should_probe(const std::string& zone, net::TimePoint now);
 
  private:
   struct Zone {
-    net::TimePoint newest_sign{};
-    net::TimePoint tried_at{};
+    net::TimePoint last_contact{};
+    net::TimePoint probed_at{};
   };
 
   std::map<std::string, Zone> zones_;
--- a/src/serving/engine_picture.cpp
+++ b/src/serving/engine_picture.cpp
@@ -32,7 +32,7 @@
 }
 
 void EnginePicture::take_speeds(net::TimePoint now) {
-  if (now < speeds_taken_at_ + balancing::kSpeedReading) return;
+  if (now < speeds_taken_at_ + balancing::kSpeedSampleInterval) return;
   speeds_taken_at_ = now;
   const auto told = state_.peers.figures(now, state_.beacons.silence_limit()).speeds;
   const auto engines = state_.engines.all();
@@ -42,7 +42,7 @@
     const auto entry = told.find(cluster::engine_key(engine->record.id));
     balancing::SpeedReport others;
     if (entry != told.end()) others = {entry->second.permille, entry->second.samples};
-    engine->speed_estimate.take(engine->own_speed.figure(now), others, now);
+    engine->speed_estimate.update(engine->own_speed.figure(now), others, now);
     engine->speed = engine->speed_estimate.value();
     slowest = std::min(slowest, engine->speed);
     fastest = std::max(fastest, engine->speed);
@@ -54,7 +54,7 @@
 void EnginePicture::log_speed(balancing::Engine& engine, const balancing::SpeedReport& told,
                               net::TimePoint now) {
   const auto before = engine.speed_step.value();
-  if (!engine.speed_step.moved(engine.speed, now)) return;
+  if (!engine.speed_step.should_log(engine.speed, now)) return;
   const auto own = engine.own_speed.figure(now);
   state_.log.event("engine_speed")
       .with("engine", engine.record.id)
--- a/tests/balancing/engine_speed_test.cpp
+++ b/tests/balancing/engine_speed_test.cpp
@@ -48,7 +48,7 @@
   REQUIRE(EngineSpeed().figure(kStart).samples == 0);
   SpeedEstimate believed;
   REQUIRE(believed.value() == 1);
-  believed.take({250, 0}, {4000, -3}, kStart);
+  believed.update({250, 0}, {4000, -3}, kStart);
   REQUIRE(believed.value() == 1);
 }
 
@@ -68,7 +68,7 @@
   speed.add(std::numeric_limits<double>::infinity(), kStart);
   REQUIRE(speed.figure(kStart).samples == 1);
   SpeedEstimate believed;
-  believed.take(speed.figure(kStart), {}, kStart);
+  believed.update(speed.figure(kStart), {}, kStart);
   REQUIRE(believed.value() > 0.8);
 }
 
@@ -80,7 +80,7 @@
   auto now = kStart;
   const auto hear = [&](int permille, int samples, int milliseconds) {
     for (int at = 0; at < milliseconds; at += 100, now += net::Millis(100)) {
-      believed.take({}, {permille, samples}, now);
+      believed.update({}, {permille, samples}, now);
     }
   };
   hear(1000, 10, 6000);
@@ -115,7 +115,7 @@
     double most = 1;
     auto now = kStart;
     for (const auto& [own, told] : heard) {
-      believed.take(own, told, now);
+      believed.update(own, told, now);
       now += net::Millis(750);
       for (const auto& figure : {own, told}) {
         if (figure.samples <= 0) continue;
@@ -202,7 +202,7 @@
     times.record_stream(idle, {10, 30.0 + 4 * idle_requests, 250, true}, now);
     times.record_stream(busy, {10, 30.0 + 4 * busy_requests, 250, true}, now);
     for (auto* used : {&idle, &busy}) {
-      used->speed_estimate.take(used->own_speed.figure(now), {}, now);
+      used->speed_estimate.update(used->own_speed.figure(now), {}, now);
       used->speed = used->speed_estimate.value();
     }
   }
@@ -252,10 +252,10 @@
   auto now = kStart;
   int lines = 0;
   for (int i = 0; i < 100; ++i, now += net::Millis(100)) {
-    lines += step.moved(i % 2 == 0 ? 0.83 : 0.85, now) ? 1 : 0;
+    lines += step.should_log(i % 2 == 0 ? 0.83 : 0.85, now) ? 1 : 0;
   }
   REQUIRE(lines <= 1);
-  REQUIRE(step.moved(0.25, now + net::Millis(2000)));
+  REQUIRE(step.should_log(0.25, now + net::Millis(2000)));
   REQUIRE(step.value() == -4);
-  REQUIRE_FALSE(step.moved(1, now + net::Millis(2100)));
+  REQUIRE_FALSE(step.should_log(1, now + net::Millis(2100)));
 }
--- a/tests/balancing/prompt_demand_test.cpp
+++ b/tests/balancing/prompt_demand_test.cpp
@@ -42,7 +42,7 @@
   const auto often = prompt_key("llm", "7");
   demand.note(often, 8'000, kStart);
   const auto counts = demand.told(kStart);
-  REQUIRE(counts.size() == PromptDemand::kMostTold);
+  REQUIRE(counts.size() == PromptDemand::kMaxReportedPrompts);
   REQUIRE(counts.at(often) == 2);
 }
 
--- a/tests/balancing/uneven_engines_test.cpp
+++ b/tests/balancing/uneven_engines_test.cpp
@@ -161,7 +161,7 @@
       balancing::SpeedReport told;
       const auto entry = news.speeds.find(engine);
       if (entry != news.speeds.end()) told = {entry->second.permille, entry->second.samples};
-      known->speed_estimate.take(known->own_speed.figure(now()), told, now());
+      known->speed_estimate.update(known->own_speed.figure(now()), told, now());
       known->speed = known->speed_estimate.value();
       ++heard_;
       heard_slow_ += known->speed < 0.7 ? 1 : 0;
