--- a/src/balancing/prompt_placement.cpp
+++ b/src/balancing/prompt_placement.cpp
@@ -200,13 +200,13 @@
 }
 
 void PromptPlacement::rebuild(const std::vector<EnginePointer>& engines) {
-  places_.clear();
+  replicas_.clear();
   const auto usable = std::max<std::size_t>(count_usable(engines), 1);
   const double mean = static_cast<double>(copies()) / static_cast<double>(usable);
   const int bound = std::max(static_cast<int>(kMaxCopiesOverMean * mean), 1);
   Copies taken;
   for (const auto& [key, count] : engine_counts_) {
-    auto& replicas = places_[key];
+    auto& replicas = replicas_[key];
     replicas.order_key = order_key(key);
     replicas.engines = assign(order(replicas.order_key, engines), count, bound, taken);
   }
@@ -214,10 +214,10 @@
 
 const PromptReplicas& PromptPlacement::replicas(std::int32_t prompt,
                                                 const std::vector<EnginePointer>& engines) {
-  const auto known = places_.find(prompt);
-  if (known != places_.end()) return known->second;
-  if (places_.size() >= 2 * kMaxPlacedPrompts) rebuild(engines);
-  auto& replicas = places_[prompt];
+  const auto known = replicas_.find(prompt);
+  if (known != replicas_.end()) return known->second;
+  if (replicas_.size() >= 2 * kMaxPlacedPrompts) rebuild(engines);
+  auto& replicas = replicas_[prompt];
   const auto usable = count_usable(engines);
   const int count = bounded(wanted(0, usable), usable);
   replicas.order_key = order_key(prompt);
--- a/src/balancing/prompt_placement.hpp
+++ b/src/balancing/prompt_placement.hpp
@@ -93,7 +93,7 @@
   std::size_t engines_ = 0;  ///< usable engines at the last update
   std::uint64_t engines_digest_ = 0;
   std::map<std::int32_t, int> engine_counts_;  ///< number of engines by prompt
-  std::map<std::int32_t, PromptReplicas> places_;
+  std::map<std::int32_t, PromptReplicas> replicas_;
 };
 
 }  // namespace sailgate::balancing
--- a/tests/balancing/engine_registry_test.cpp
+++ b/tests/balancing/engine_registry_test.cpp
@@ -20,18 +20,18 @@
 
 }  // namespace
 
-TEST_CASE("an engine that starts again under its name is another engine", "[balancing]") {
+TEST_CASE("a restarted engine is treated as a new engine", "[balancing]") {
   EngineRegistry registry;
-  std::vector<std::string> left;
+  std::vector<std::string> unusable_ids;
   int restarts = 0;
-  registry.on_unusable([&](const auto& engine) { left.push_back(engine.record.id); });
+  registry.on_unusable([&](const auto& engine) { unusable_ids.push_back(engine.record.id); });
   registry.on_restart([&](const auto&, const auto&) { ++restarts; });
   registry.put(run_of("e", 1000));
   const auto before = registry.find("e@1000");
   before->in_flight = 3;
   before->consecutive_failures = 2;
   before->own_speed = {};
-  // A start that lies before the known one counts as well: clocks are set back.
+  // An earlier start time also denotes a new run, since clocks can be set back.
   const auto start = GENERATE(2000, 500);
   registry.put(run_of("e", start));
   const auto now = registry.at("e");
@@ -43,36 +43,35 @@
   REQUIRE(registry.find("e@1000") == nullptr);
   REQUIRE(registry.has_ended("e@1000"));
   REQUIRE(registry.of_service("app").size() == 1);
-  REQUIRE(left == std::vector<std::string>{"e@1000"});
+  REQUIRE(unusable_ids == std::vector<std::string>{"e@1000"});
   REQUIRE(restarts == 1);
 }
 
-TEST_CASE("a restart during a drain brings an engine that is used", "[balancing]") {
+TEST_CASE("an engine restarted while draining is usable", "[balancing]") {
   EngineRegistry registry;
   registry.put(run_of("e", 1000, true));
   registry.put(run_of("e", 2000));
   REQUIRE(registry.at("e")->usable());
-  // Within a run a drain is not taken back.
+  // Within a run, draining is final.
   registry.put(run_of("e", 2000, true));
   registry.put(run_of("e", 2000));
   REQUIRE_FALSE(registry.at("e")->usable());
 }
 
-TEST_CASE("what is read late of a run that has ended is not taken for news", "[balancing]") {
+TEST_CASE("late records of an ended run are ignored", "[balancing]") {
   EngineRegistry registry;
   registry.put(run_of("e", 1000));
   registry.put(run_of("e", 2000, true));
   registry.put(run_of("e", 1000));
   REQUIRE(registry.at("e")->record.id == "e@2000");
   REQUIRE_FALSE(registry.at("e")->usable());
-  // Two restarts within a second, of which one was never read.
+  // Two restarts within a second, the first of which was never read.
   registry.put(run_of("e", 2700));
   REQUIRE(registry.at("e")->usable());
   REQUIRE(registry.size() == 1);
 }
 
-TEST_CASE("an entry that lapsed and comes back with another start is another engine",
-          "[balancing]") {
+TEST_CASE("a stale entry that returns with another start time is a new engine", "[balancing]") {
   EngineRegistry registry;
   registry.put(run_of("e", 1000));
   registry.mark_stale("e");
@@ -85,7 +84,7 @@
   REQUIRE(registry.of_service("app").empty());
 }
 
-TEST_CASE("an engine whose entry names no engine is out of use until a usable one comes",
+TEST_CASE("an engine with an invalid entry is unusable until a valid entry arrives",
           "[balancing]") {
   EngineRegistry registry;
   registry.put(run_of("e", 1000));
@@ -97,7 +96,7 @@
   registry.put(run_of("e", 1000));
   REQUIRE(registry.at("e")->usable());
   REQUIRE(registry.at("e")->in_flight == 2);
-  // A whole list in which it is unusable takes it out of use, and not away.
+  // An invalid entry in a replaced list suspends the engine without removing it.
   registry.replace({run_of("other", 1)}, EngineRegistry::AbsentPolicy::kRemove, {"e"});
   REQUIRE(registry.at("e") != nullptr);
   REQUIRE_FALSE(registry.at("e")->usable());
--- a/tests/balancing/engine_selector_test.cpp
+++ b/tests/balancing/engine_selector_test.cpp
@@ -38,57 +38,58 @@
 
 }  // namespace
 
-TEST_CASE("draining, leaving and offered engines are not chosen", "[balancing]") {
+TEST_CASE("draining, removed and excluded engines are not selected", "[balancing]") {
   EngineRegistry engines;
   engines.put(record("draining", "near", true));
   engines.put(record("offered", "near"));
   engines.put(record("gone", "near"));
   engines.remove("gone");
-  auto asked = query();
-  asked.excluded = {"offered"};
-  REQUIRE(balancing::select_engine(engines, asked) == nullptr);
+  auto request_query = query();
+  request_query.excluded = {"offered"};
+  REQUIRE(balancing::select_engine(engines, request_query) == nullptr);
 }
 
-TEST_CASE("an incarnation that drains does not come back", "[balancing]") {
+TEST_CASE("draining is final for a run", "[balancing]") {
   EngineRegistry engines;
-  int leaving = 0;
-  engines.on_unusable([&](const balancing::Engine&) { ++leaving; });
+  int unusable_count = 0;
+  engines.on_unusable([&](const balancing::Engine&) { ++unusable_count; });
   engines.put(record("a", "near"));
   engines.put(record("a", "near", true));
   engines.put(record("a", "near"));
   REQUIRE_FALSE(engines.find("a")->usable());
-  REQUIRE(leaving == 1);
+  REQUIRE(unusable_count == 1);
 }
 
-TEST_CASE("a whole list removes what it lacks", "[balancing]") {
+TEST_CASE("replacing the list removes missing engines", "[balancing]") {
   auto engines = registry();
   const auto kept = engines.find("a");
-  const auto dropped = engines.find("b");
+  const auto removed = engines.find("b");
   engines.replace({record("a", "near"), record("e", "near")});
   REQUIRE(engines.find("a") == kept);
   REQUIRE(engines.find("b") == nullptr);
-  REQUIRE(dropped->leaving);
+  REQUIRE(removed->leaving);
   REQUIRE(engines.of_service("llm").size() == 2);
 }
 
-TEST_CASE("an engine whose entry lapsed serves until it is known to be gone", "[balancing]") {
+TEST_CASE("an engine with a stale entry stays in use until stale entries are removed",
+          "[balancing]") {
   auto engines = registry();
-  int leaving = 0;
-  engines.on_unusable([&](const balancing::Engine&) { ++leaving; });
+  int unusable_count = 0;
+  engines.on_unusable([&](const balancing::Engine&) { ++unusable_count; });
   using AbsentPolicy = EngineRegistry::AbsentPolicy;
   engines.mark_stale("a");
   engines.replace({record("a", "near"), record("c", "far")}, AbsentPolicy::kMarkStale);
   REQUIRE(engines.of_service("llm").size() == 4);
-  REQUIRE(leaving == 0);
+  REQUIRE(unusable_count == 0);
   engines.put(record("b", "near"));
   engines.remove_stale();
   REQUIRE(engines.find("a") != nullptr);
   REQUIRE(engines.find("b") != nullptr);
   REQUIRE(engines.find("d") == nullptr);
-  REQUIRE(leaving == 1);
+  REQUIRE(unusable_count == 1);
 }
 
-TEST_CASE("all nodes choose the same engine for a key while load is moderate", "[balancing]") {
+TEST_CASE("all nodes select the same engine for a key at moderate load", "[balancing]") {
   const auto one = registry();
   EngineRegistry other;
   for (const auto* id : {"d", "b", "a", "c"}) {
@@ -97,16 +98,16 @@
   std::set<std::string> used;
   for (int i = 0; i < 200; ++i) {
     const auto key = "program-" + std::to_string(i);
-    auto asked = query(key);
-    const auto chosen = balancing::select_engine(one, asked)->record.id;
-    asked.draw = 77;
-    REQUIRE(balancing::select_engine(other, asked)->record.id == chosen);
+    auto request_query = query(key);
+    const auto chosen = balancing::select_engine(one, request_query)->record.id;
+    request_query.draw = 77;
+    REQUIRE(balancing::select_engine(other, request_query)->record.id == chosen);
     used.insert(chosen);
   }
   REQUIRE(used.size() == 4);
 }
 
-TEST_CASE("a saturated engine loses its keys until it has room", "[balancing]") {
+TEST_CASE("a saturated engine loses its keys until its load drops", "[balancing]") {
   auto engines = registry();
   const auto first = balancing::select_engine(engines, query("key"));
   first->peer_in_flight = 6;
@@ -116,7 +117,7 @@
   REQUIRE(balancing::select_engine(engines, query("key")) == first);
 }
 
-TEST_CASE("a saturated engine is passed over until it has room", "[balancing]") {
+TEST_CASE("a saturated engine is not selected until its load drops", "[balancing]") {
   auto engines = registry();
   const auto first = engines.find("a");
   first->idle_connections = 1;
@@ -127,29 +128,28 @@
   REQUIRE(balancing::select_engine(engines, query()) == first);
 }
 
-TEST_CASE("a node keeps to the engine it is connected to while others are not far less busy",
-          "[balancing]") {
+TEST_CASE("a node prefers a connected engine unless others have much less load", "[balancing]") {
   auto engines = registry();
   engines.find("a")->idle_connections = 1;
   engines.find("a")->peer_in_flight = 1;
   REQUIRE(balancing::select_engine(engines, query())->record.id == "a");
-  // Half of the slots more than at the other engine.
+  // Two requests, half of the slots, more than at the other engine.
   engines.find("a")->peer_in_flight = 3;
   REQUIRE(balancing::select_engine(engines, query())->record.id == "b");
 }
 
-TEST_CASE("an engine that failed is the last choice, but a choice", "[balancing]") {
+TEST_CASE("an engine that failed is selected only as a last resort", "[balancing]") {
   EngineRegistry engines;
   engines.put(record("a", "near"));
   engines.put(record("b", "far"));
   engines.find("a")->avoid_until = net::Clock::now() + net::Millis(60'000);
   REQUIRE(balancing::select_engine(engines, query())->record.id == "b");
-  auto asked = query();
-  asked.excluded = {"b"};
-  REQUIRE(balancing::select_engine(engines, asked)->record.id == "a");
+  auto request_query = query();
+  request_query.excluded = {"b"};
+  REQUIRE(balancing::select_engine(engines, request_query)->record.id == "a");
 }
 
-TEST_CASE("without a key the least loaded engine of the zone serves", "[balancing]") {
+TEST_CASE("without a key the least loaded engine of the zone is selected", "[balancing]") {
   auto engines = registry();
   engines.find("a")->in_flight = 1;
   REQUIRE(balancing::select_engine(engines, query())->record.id == "b");
@@ -157,66 +157,66 @@
   REQUIRE(balancing::select_engine(engines, query())->record.id == "a");
 }
 
-TEST_CASE("a kept connection breaks a tie", "[balancing]") {
+TEST_CASE("an idle connection breaks a tie", "[balancing]") {
   auto engines = registry();
   engines.find("b")->idle_connections = 1;
   for (std::uint64_t draw = 0; draw < 20; ++draw) {
-    auto asked = query();
-    asked.draw = draw;
-    REQUIRE(balancing::select_engine(engines, asked)->record.id == "b");
+    auto request_query = query();
+    request_query.draw = draw;
+    REQUIRE(balancing::select_engine(engines, request_query)->record.id == "b");
   }
 }
 
-TEST_CASE("a line stays at its engine, whatever the zone says", "[balancing]") {
+TEST_CASE("a line stays at its engine regardless of the zone", "[balancing]") {
   const auto engines = registry();
   for (const auto* id : {"a", "b", "c", "d"}) {
-    auto asked = query();
-    asked.line_engine = id;
-    REQUIRE(balancing::select_engine(engines, asked)->record.id == id);
+    auto request_query = query();
+    request_query.line_engine = id;
+    REQUIRE(balancing::select_engine(engines, request_query)->record.id == id);
   }
 }
 
-TEST_CASE("a line stays while its engine is not much busier than the others", "[balancing]") {
+TEST_CASE("a line stays unless its engine is much busier than the others", "[balancing]") {
   const auto engines = registry();
-  auto asked = query();
-  asked.line_engine = "d";
+  auto request_query = query();
+  request_query.line_engine = "d";
   engines.find("d")->in_flight = 3;
-  REQUIRE(balancing::select_engine(engines, asked)->record.id == "d");
-  // All slots taken, and the others idle.
+  REQUIRE(balancing::select_engine(engines, request_query)->record.id == "d");
+  // All slots are in use while the others are idle.
   engines.find("d")->in_flight = 4;
-  REQUIRE(balancing::select_engine(engines, asked)->record.id != "d");
-  // All are that busy: moving would only add work.
+  REQUIRE(balancing::select_engine(engines, request_query)->record.id != "d");
+  // All engines are equally busy, so moving would only add prefill work.
   for (const auto* id : {"a", "b", "c"}) engines.find(id)->peer_in_flight = 4;
-  REQUIRE(balancing::select_engine(engines, asked)->record.id == "d");
+  REQUIRE(balancing::select_engine(engines, request_query)->record.id == "d");
 }
 
-TEST_CASE("a line leaves an engine that fails, ends or was asked already", "[balancing]") {
+TEST_CASE("a line leaves an engine that fails, shuts down or is excluded", "[balancing]") {
   auto engines = registry();
-  auto asked = query();
-  asked.line_engine = "d";
-  engines.find("d")->avoid_until = asked.now + net::Millis(100);
-  REQUIRE(balancing::select_engine(engines, asked)->record.id != "d");
+  auto request_query = query();
+  request_query.line_engine = "d";
+  engines.find("d")->avoid_until = request_query.now + net::Millis(100);
+  REQUIRE(balancing::select_engine(engines, request_query)->record.id != "d");
   engines.find("d")->avoid_until = {};
-  asked.excluded = {"d"};
-  REQUIRE(balancing::select_engine(engines, asked)->record.id != "d");
-  asked.excluded.clear();
+  request_query.excluded = {"d"};
+  REQUIRE(balancing::select_engine(engines, request_query)->record.id != "d");
+  request_query.excluded.clear();
   engines.put(record("d", "far", true));
-  REQUIRE(balancing::select_engine(engines, asked)->record.id != "d");
+  REQUIRE(balancing::select_engine(engines, request_query)->record.id != "d");
   engines.remove("d");
-  REQUIRE(balancing::select_engine(engines, asked)->record.id != "d");
+  REQUIRE(balancing::select_engine(engines, request_query)->record.id != "d");
 }
 
-TEST_CASE("an engine of another service is no place for a line", "[balancing]") {
+TEST_CASE("a line ignores an engine of another service", "[balancing]") {
   auto engines = registry();
   auto foreign = record("x", "near");
   foreign.service = "other";
   engines.put(foreign);
-  auto asked = query();
-  asked.line_engine = "x";
-  REQUIRE(balancing::select_engine(engines, asked)->record.service == "llm");
+  auto request_query = query();
+  request_query.line_engine = "x";
+  REQUIRE(balancing::select_engine(engines, request_query)->record.service == "llm");
 }
 
-TEST_CASE("a slot at half the speed holds half as much", "[balancing]") {
+TEST_CASE("a slot at half speed counts as half a slot", "[balancing]") {
   auto engines = registry();
   engines.find("a")->speed = 0.5;
   engines.find("a")->in_flight = 1;
@@ -227,7 +227,7 @@
   REQUIRE(balancing::select_engine(engines, query())->record.id == "a");
 }
 
-TEST_CASE("the mean load is that of all work over all that engines can do", "[balancing]") {
+TEST_CASE("the mean load is weighted by engine speed", "[balancing]") {
   EngineRegistry engines;
   engines.put(record("fast", "near"));
   engines.put(record("slow", "near"));
@@ -239,7 +239,7 @@
   REQUIRE(balancing::mean_load(engines.of_service("llm")) == Approx(1.0));
 }
 
-TEST_CASE("keys go to engines in shares by their speed", "[balancing]") {
+TEST_CASE("engines get shares of the keys proportional to their speed", "[balancing]") {
   EngineRegistry engines;
   for (const auto* id : {"a", "b", "c", "d"}) engines.put(record(id, "near"));
   engines.find("a")->speed = 0.5;
@@ -254,8 +254,7 @@
   CHECK(chosen["c"] == Approx(kKeys * 2 / 9.0).epsilon(0.1));
 }
 
-TEST_CASE("a key whose engine turns slow moves to one other, and others' keys stay",
-          "[balancing]") {
+TEST_CASE("when an engine becomes slow only its own keys move", "[balancing]") {
   EngineRegistry engines;
   for (const auto* id : {"a", "b", "c", "d"}) engines.put(record(id, "near"));
   for (int i = 0; i < 1000; ++i) {
@@ -268,43 +267,41 @@
   }
 }
 
-TEST_CASE(
-    "a line leaves an engine that turned slow when its next turns gain more than its prompt "
-    "costs",
-    "[balancing]") {
+TEST_CASE("a line leaves a slow engine if the gain exceeds the prefill cost", "[balancing]") {
   auto engines = registry();
-  auto asked = query();
-  asked.line_engine = "a";
+  auto request_query = query();
+  request_query.line_engine = "a";
   engines.find("a")->speed = 0.4;
-  // Not known what reading anew costs, or more than two turns gain.
-  REQUIRE(balancing::select_engine(engines, asked)->record.id == "a");
-  asked.turn_to_prefill_ratio = 0.5;
-  REQUIRE(balancing::select_engine(engines, asked)->record.id == "a");
-  asked.turn_to_prefill_ratio = 5;
-  REQUIRE(balancing::select_engine(engines, asked)->record.id != "a");
+  // The prefill cost is unknown, or higher than the gain over two turns.
+  REQUIRE(balancing::select_engine(engines, request_query)->record.id == "a");
+  request_query.turn_to_prefill_ratio = 0.5;
+  REQUIRE(balancing::select_engine(engines, request_query)->record.id == "a");
+  request_query.turn_to_prefill_ratio = 5;
+  REQUIRE(balancing::select_engine(engines, request_query)->record.id != "a");
 }
 
-TEST_CASE("a line does not leave for a gain that may be none", "[balancing]") {
+TEST_CASE("a line does not move for an uncertain gain", "[balancing]") {
   auto engines = registry();
-  auto asked = query();
-  asked.line_engine = "a";
-  asked.turn_to_prefill_ratio = 5;
+  auto request_query = query();
+  request_query.line_engine = "a";
+  request_query.turn_to_prefill_ratio = 5;
   engines.find("a")->speed = 0.85;
-  REQUIRE(balancing::select_engine(engines, asked)->record.id == "a");
+  REQUIRE(balancing::select_engine(engines, request_query)->record.id == "a");
 }
 
-TEST_CASE("a line stays at a slow engine while the faster ones are full or fail", "[balancing]") {
+TEST_CASE("a line stays at a slow engine while the faster ones are saturated or failing",
+          "[balancing]") {
   auto engines = registry();
-  auto asked = query();
-  asked.line_engine = "a";
-  asked.turn_to_prefill_ratio = 5;
+  auto request_query = query();
+  request_query.line_engine = "a";
+  request_query.turn_to_prefill_ratio = 5;
   engines.find("a")->speed = 0.4;
-  // A turn takes 2.5 times as long at the slow engine, and 3.25 times as long at the others.
+  // A turn takes 2.5 times as long at the slow engine and 3.25 times as long at the others.
   for (const auto* id : {"b", "c", "d"}) engines.find(id)->peer_in_flight = 12;
-  REQUIRE(balancing::select_engine(engines, asked)->record.id == "a");
+  REQUIRE(balancing::select_engine(engines, request_query)->record.id == "a");
   for (const auto* id : {"b", "c", "d"}) {
     engines.find(id)->peer_in_flight = 0;
-    engines.find(id)->avoid_until = asked.now + net::Millis(100);
+    engines.find(id)->avoid_until = request_query.now + net::Millis(100);
   }
-  REQUIRE(balancing::select_engine(engines, asked)->record.id == "a");
+  REQUIRE(balancing::select_engine(engines, request_query)->record.id == "a");
 }
--- a/tests/balancing/late_loads_test.cpp
+++ b/tests/balancing/late_loads_test.cpp
@@ -13,35 +13,35 @@
 constexpr int kSlots = 6;
 constexpr int kRequestMs = 100;
 
-/// One zone of a fleet in steps of a millisecond: every node chooses by the real selector, knows
-/// its own requests at once and those of the others late.
-class LateZone {
+/// Simulates one zone of a cluster in steps of 1 ms. Nodes use the real selector; they know their
+/// own requests at once and those of other nodes after a delay.
+class DelayedZone {
  public:
-  LateZone(int nodes, int delay_ms) : delay_ms_(delay_ms) {
+  DelayedZone(int nodes, int delay_ms) : delay_ms_(delay_ms) {
     for (int node = 0; node < nodes; ++node) registries_.push_back(registry());
   }
 
-  /// Requests come at a rate that keeps this share of all slots busy.
+  /// The request rate keeps the given share of all slots busy.
   void run(int milliseconds, double load) {
     const double per_ms = load * kEngines * kSlots / kRequestMs;
-    double owed = 0;
+    double due = 0;
     for (int step = 0; step < milliseconds; ++step, ++now_ms_) {
       end_requests();
       history_.push_back(in_flight_);
       if (static_cast<int>(history_.size()) > delay_ms_ + 1) history_.pop_front();
-      for (owed += per_ms; owed >= 1; owed -= 1) begin_request();
+      for (due += per_ms; due >= 1; due -= 1) begin_request();
       for (int engine = 0; engine < kEngines; ++engine) busy_[engine] += in_flight_[engine];
     }
   }
 
   double busiest_over_mean() const {
     double sum = 0;
-    double most = 0;
+    double highest = 0;
     for (const double busy : busy_) {
       sum += busy;
-      most = std::max(most, busy);
+      highest = std::max(highest, busy);
     }
-    return most * kEngines / sum;
+    return highest * kEngines / sum;
   }
   double new_connections_per_request() const {
     return static_cast<double>(connections_) / requests_;
@@ -89,17 +89,17 @@
     ++chosen->in_flight;
     const int engine = std::stoi(chosen->record.id);
     ++in_flight_[engine];
-    under_way_.push_back({node, engine, now_ms_ + kRequestMs});
+    in_progress_.push_back({node, engine, now_ms_ + kRequestMs});
   }
 
   void end_requests() {
-    while (!under_way_.empty() && under_way_.front().ends_ms <= now_ms_) {
-      const auto& request = under_way_.front();
+    while (!in_progress_.empty() && in_progress_.front().ends_ms <= now_ms_) {
+      const auto& request = in_progress_.front();
       const auto engine = registries_[request.node].find(std::to_string(request.engine));
       --engine->in_flight;
       ++engine->idle_connections;
       --in_flight_[request.engine];
-      under_way_.pop_front();
+      in_progress_.pop_front();
     }
   }
 
@@ -110,22 +110,23 @@
   std::vector<int> in_flight_ = std::vector<int>(kEngines, 0);
   std::vector<double> busy_ = std::vector<double>(kEngines, 0);
   std::deque<std::vector<int>> history_;
-  std::deque<Request> under_way_;
+  std::deque<Request> in_progress_;
   int connections_ = 0;
   int requests_ = 0;
 };
 
 }  // namespace
 
-// Before and after the cost of a new connection rose from 0.15 to 0.5 of an engine's slots, 49
-// nodes: busiest engine over the mean 1.29 and 1.28 at a quarter of the slots, 1.79 and 1.56 at 0.7
-// of them; new connections a request 0.133 and 0.089, 0.088 and 0.074. 200 nodes at a quarter: 1.56
-// and 1.26, 0.286 and 0.190.
-TEST_CASE("nodes that hear of loads late keep to few engines and do not herd", "[balancing]") {
+// Guards against herding: nodes with stale load data all moving to the same engine, and opening a
+// new connection for each move. Raising the cost of a new connection from 0.15 to 0.5 changed, with
+// 49 nodes, the load of the busiest engine over the mean from 1.29 to 1.28 at a load of 0.25 and
+// from 1.79 to 1.56 at 0.7, and the new connections per request from 0.133 to 0.089 and from 0.088
+// to 0.074. With 200 nodes at 0.25: from 1.56 to 1.26 and from 0.286 to 0.190.
+TEST_CASE("nodes with stale load data keep to few engines and do not herd", "[balancing]") {
   const int nodes = GENERATE(12, 49, 200);
   const double load = GENERATE(0.25, 0.7);
   constexpr int kDelayMs = 300;
-  LateZone zone(nodes, kDelayMs);
+  DelayedZone zone(nodes, kDelayMs);
   zone.run(10'000, load);
   INFO("nodes " << nodes << ", load " << load);
   CHECK(zone.busiest_over_mean() < (load < 0.5 ? 1.35 : 1.65));
--- a/tests/balancing/line_placements_test.cpp
+++ b/tests/balancing/line_placements_test.cpp
@@ -15,14 +15,14 @@
   REQUIRE(placements.find("program", "main") == "c");
 }
 
-TEST_CASE("a new line begins where the program's last turn ran", "[balancing]") {
+TEST_CASE("a new line starts at the engine of the program's last turn", "[balancing]") {
   LinePlacements placements(10);
   placements.note("program", "main", "a");
   REQUIRE(placements.find("program", "helper") == "a");
   REQUIRE(placements.find("other", "helper").empty());
 }
 
-TEST_CASE("programs that were used longest ago are forgotten first", "[balancing]") {
+TEST_CASE("the least recently used programs are evicted first", "[balancing]") {
   LinePlacements placements(2);
   placements.note("first", "", "a");
   placements.note("second", "", "b");
--- a/tests/balancing/prompt_demand_test.cpp
+++ b/tests/balancing/prompt_demand_test.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-TEST_CASE("requests count by prompt for the length of the window", "[balancing][prompts]") {
+TEST_CASE("requests are counted per prompt within the window", "[balancing][prompts]") {
   PromptDemand demand;
   const auto often = prompt_key("llm", "often");
   const auto once = prompt_key("llm", "once");
@@ -25,7 +25,7 @@
   REQUIRE(demand.told(kStart + net::Millis(4'000) + PromptDemand::kWindow).empty());
 }
 
-TEST_CASE("requests after a pause of several windows start from nothing", "[balancing][prompts]") {
+TEST_CASE("counts restart from zero after a pause of several windows", "[balancing][prompts]") {
   PromptDemand demand;
   const auto prompt = prompt_key("llm", "prompt");
   for (int i = 0; i < 9; ++i) demand.note(prompt, 8'000, kStart);
@@ -34,7 +34,7 @@
   REQUIRE(demand.told(later).at(prompt) == 1);
 }
 
-TEST_CASE("only the prompts asked for most often are told", "[balancing][prompts]") {
+TEST_CASE("only the most frequent prompts are reported", "[balancing][prompts]") {
   PromptDemand demand;
   for (int prompt = 0; prompt < 5'000; ++prompt) {
     demand.note(prompt_key("llm", std::to_string(prompt)), 8'000, kStart);
@@ -46,7 +46,7 @@
   REQUIRE(counts.at(often) == 2);
 }
 
-TEST_CASE("a prompt's key tells its service", "[balancing][prompts]") {
+TEST_CASE("a prompt's key identifies its service", "[balancing][prompts]") {
   const auto key = prompt_key("llm", "prompt");
   REQUIRE(balancing::is_prompt_of(key, "llm"));
   REQUIRE_FALSE(balancing::is_prompt_of(key, "other"));
--- a/tests/balancing/prompt_load_test.cpp
+++ b/tests/balancing/prompt_load_test.cpp
@@ -20,32 +20,33 @@
 constexpr int kPrompts = 16;
 constexpr int kTurnMs = 300;
 constexpr int kTurns = 5;
-constexpr int kNewsMs = 300;  ///< age of what a node knows of the requests of others
-constexpr int kPlaceMs = 1000;
-constexpr int kWarmUpMs = 3000;  ///< not measured
-
-/// A fleet in steps of a millisecond: every node chooses by the real selector and placement, knows
-/// its own requests at once and those of the others late. Programs of several turns begin with one
-/// of a few prompts of skewed demand; later turns stay at their line's engine.
-class Fleet {
+constexpr int kReportDelayMs = 300;  ///< age of what a node knows about the requests of others
+constexpr int kPlacementIntervalMs = 1000;
+constexpr int kWarmUpMs = 3000;  ///< excluded from the measurement
+
+/// Simulates a cluster in steps of 1 ms. Nodes use the real selector and prompt placement; they
+/// know their own requests at once and those of other nodes after a delay. Programs have several
+/// turns and begin with one of a few prompts of skewed popularity; later turns stay at their line's
+/// engine.
+class PromptCluster {
  public:
-  explicit Fleet(bool placed) : placed_(placed) {
+  explicit PromptCluster(bool uses_placement) : uses_placement_(uses_placement) {
     for (int node = 0; node < kNodes; ++node) {
       registries_.push_back(registry());
       placements_.emplace_back();
     }
   }
 
-  /// Programs come at a rate that keeps this share of all slots busy.
+  /// The rate of new programs keeps the given share of all slots busy.
   void run(int milliseconds, double load) {
     const double per_ms = load * kEngines * kSlots / (kTurnMs * kTurns);
-    double owed = 0;
+    double due = 0;
     for (int step = 0; step < milliseconds; ++step, ++now_ms_) {
       end_turns();
       history_.push_back(in_flight_);
-      if (static_cast<int>(history_.size()) > kNewsMs + 1) history_.pop_front();
-      if (placed_ && now_ms_ % kPlaceMs == 0) place();
-      for (owed += per_ms; owed >= 1; owed -= 1) begin_program();
+      if (static_cast<int>(history_.size()) > kReportDelayMs + 1) history_.pop_front();
+      if (uses_placement_ && now_ms_ % kPlacementIntervalMs == 0) update_placements();
+      for (due += per_ms; due >= 1; due -= 1) begin_program();
       if (now_ms_ < kWarmUpMs) continue;
       for (int engine = 0; engine < kEngines; ++engine) busy_.at(engine) += in_flight_.at(engine);
     }
@@ -53,16 +54,16 @@
 
   double busiest_over_mean() const {
     double sum = 0;
-    double most = 0;
+    double highest = 0;
     for (const double busy : busy_) {
       sum += busy;
-      most = std::max(most, busy);
+      highest = std::max(highest, busy);
     }
-    return most * kEngines / sum;
+    return highest * kEngines / sum;
   }
-  /// Pairs of a prompt and an engine that has had to read it.
-  int readings() const { return static_cast<int>(read_.size()); }
-  double turns_in_other_zones() const { return static_cast<double>(crossed_) / turns_; }
+  /// Number of distinct (prompt, engine) pairs, each of which cost a prefill.
+  int prefills() const { return static_cast<int>(prefilled_.size()); }
+  double cross_zone_share() const { return static_cast<double>(cross_zone_turns_) / turns_; }
 
  private:
   using Counts = std::array<int, kEngines>;
@@ -70,7 +71,7 @@
     int node;
     int prompt;
     int program;
-    int left;
+    int remaining;
     int engine;
     int ends_ms;
   };
@@ -97,17 +98,17 @@
   int draw_prompt() {
     double sum = 0;
     for (int prompt = 0; prompt < kPrompts; ++prompt) sum += std::pow(prompt + 1, -0.7);
-    double left = sum * static_cast<double>(random_.below(1'000'000)) / 1'000'000;
+    double remaining = sum * static_cast<double>(random_.below(1'000'000)) / 1'000'000;
     int prompt = 0;
-    while (prompt + 1 < kPrompts && left >= std::pow(prompt + 1, -0.7)) {
-      left -= std::pow(prompt + 1, -0.7);
+    while (prompt + 1 < kPrompts && remaining >= std::pow(prompt + 1, -0.7)) {
+      remaining -= std::pow(prompt + 1, -0.7);
       ++prompt;
     }
     return prompt;
   }
 
-  void place() {
-    const auto counts = demand_.told(time());
+  void update_placements() {
+    const auto counts = demand_.delayed_count(time());
     for (int node = 0; node < kNodes; ++node) {
       placements_[node].update(counts, registries_[node].of_service("llm"),
                                balancing::prompts_per_engine(0, 0));
@@ -125,8 +126,8 @@
     auto& registry = registries_[turn.node];
     const auto& engines = registry.of_service("llm");
     for (const auto& engine : engines) {
-      const int told = history_.front().at(std::stoi(engine->record.id));
-      engine->peer_in_flight = std::max(told - engine->in_flight, 0);
+      const int delayed_count = history_.front().at(std::stoi(engine->record.id));
+      engine->peer_in_flight = std::max(delayed_count - engine->in_flight, 0);
     }
     demand_.note(key(turn.prompt), 12'000, time());
     balancing::SelectionQuery query;
@@ -135,7 +136,7 @@
     query.now = net::Clock::now();
     query.draw = random_.below(UINT64_MAX);
     query.affinity_key = "program-" + std::to_string(turn.program);
-    if (placed_) query.prompt = &placements_[turn.node].replicas(key(turn.prompt), engines);
+    if (uses_placement_) query.prompt = &placements_[turn.node].replicas(key(turn.prompt), engines);
     if (turn.engine >= 0) query.line_engine = std::to_string(turn.engine);
     const auto chosen = balancing::select_engine(registry, query);
     turn.engine = std::stoi(chosen->record.id);
@@ -143,22 +144,22 @@
     ++chosen->in_flight;
     ++in_flight_.at(turn.engine);
     ++turns_;
-    if (chosen->record.zone != query.zone) ++crossed_;
-    read_.insert({turn.prompt, turn.engine});
-    under_way_.push_back(turn);
+    if (chosen->record.zone != query.zone) ++cross_zone_turns_;
+    prefilled_.insert({turn.prompt, turn.engine});
+    in_progress_.push_back(turn);
   }
 
   void end_turns() {
-    while (!under_way_.empty() && under_way_.front().ends_ms <= now_ms_) {
-      auto turn = under_way_.front();
-      under_way_.pop_front();
+    while (!in_progress_.empty() && in_progress_.front().ends_ms <= now_ms_) {
+      auto turn = in_progress_.front();
+      in_progress_.pop_front();
       --registries_[turn.node].find(std::to_string(turn.engine))->in_flight;
       --in_flight_.at(turn.engine);
-      if (--turn.left > 0) begin_turn(turn);
+      if (--turn.remaining > 0) begin_turn(turn);
     }
   }
 
-  bool placed_;
+  bool uses_placement_;
   int now_ms_ = 0;
   base::Random random_{1};
   std::vector<balancing::EngineRegistry> registries_;
@@ -167,29 +168,31 @@
   Counts in_flight_{};
   std::array<double, kEngines> busy_{};
   std::deque<Counts> history_;
-  std::deque<Turn> under_way_;
-  std::set<std::pair<int, int>> read_;
+  std::deque<Turn> in_progress_;
+  std::set<std::pair<int, int>> prefilled_;
   int programs_ = 0;
   int turns_ = 0;
-  int crossed_ = 0;
+  int cross_zone_turns_ = 0;
 };
 
 }  // namespace
 
-TEST_CASE("prompts of skewed demand are read at few engines and load them evenly",
+TEST_CASE("prompts of skewed popularity are cached at few engines with even load",
           "[balancing][prompts]") {
   const double load = GENERATE(0.25, 0.6);
   constexpr int kRunMs = 15'000;
-  Fleet by_program(false);
-  by_program.run(kRunMs, load);
-  Fleet by_prompt(true);
-  by_prompt.run(kRunMs, load);
-  INFO("load " << load << ": readings " << by_program.readings() << " to " << by_prompt.readings()
-               << ", busiest over mean " << by_program.busiest_over_mean() << " to "
-               << by_prompt.busiest_over_mean() << ", in other zones "
-               << by_program.turns_in_other_zones() << " to " << by_prompt.turns_in_other_zones());
-  CHECK(by_prompt.readings() < by_program.readings() / 2);
-  // Any engine has room for any program when all keep all prompts.
-  CHECK(by_prompt.busiest_over_mean() < 1.4);
-  CHECK(by_prompt.turns_in_other_zones() < 0.1);
+  PromptCluster without_placement(false);
+  without_placement.run(kRunMs, load);
+  PromptCluster with_placement(true);
+  with_placement.run(kRunMs, load);
+  INFO("load " << load << ": prefills " << without_placement.prefills() << " to "
+               << with_placement.prefills() << ", busiest over mean "
+               << without_placement.busiest_over_mean() << " to "
+               << with_placement.busiest_over_mean() << ", in other zones "
+               << without_placement.cross_zone_share() << " to "
+               << with_placement.cross_zone_share());
+  CHECK(with_placement.prefills() < without_placement.prefills() / 2);
+  // Without placement every engine caches every prompt, so that any program fits anywhere.
+  CHECK(with_placement.busiest_over_mean() < 1.4);
+  CHECK(with_placement.cross_zone_share() < 0.1);
 }
--- a/tests/balancing/prompt_placement_test.cpp
+++ b/tests/balancing/prompt_placement_test.cpp
@@ -19,7 +19,7 @@
 
 constexpr int kEngines = 48;
 constexpr int kPrompts = 16;
-constexpr double kCopies = 3;  ///< of prompts an engine
+constexpr double kPromptsPerEngine = 3;  ///< mean number of prompts per engine
 const std::vector<std::string> kZones{"a", "b", "c"};
 
 balancing::EngineRecord record(int engine) {
@@ -39,7 +39,7 @@
 
 std::int32_t key(int prompt) { return balancing::prompt_key("llm", std::to_string(prompt)); }
 
-/// Share of requests: prompts of ranks 1, 2, 3 and so on are asked for less and less.
+/// Unnormalized share of the requests, decreasing with the prompt's rank.
 double weight(int prompt) { return std::pow(prompt + 1, -0.7); }
 
 PromptCounts skewed_counts(double all) {
@@ -68,9 +68,10 @@
   return query;
 }
 
-/// Engine of each of some programs, begun at nodes of the zone.
-std::map<int, std::string> chosen(PromptPlacement& placement, const EngineRegistry& engines,
-                                  const std::string& zone) {
+/// Engines selected for a number of programs by nodes of the zone.
+std::map<int, std::string> select_for_programs(PromptPlacement& placement,
+                                               const EngineRegistry& engines,
+                                               const std::string& zone) {
   std::map<int, std::string> by_program;
   for (int program = 0; program < 2'000; ++program) {
     const auto& replicas = placement.replicas(key(program % kPrompts), engines.of_service("llm"));
@@ -80,9 +81,9 @@
   return by_program;
 }
 
-/// Engines that keep each prompt.
-std::map<int, balancing::PromptReplicas::Engines> keepers(PromptPlacement& placement,
-                                                          const EngineRegistry& engines) {
+/// Engines assigned to each prompt.
+std::map<int, balancing::PromptReplicas::Engines> assigned_engines(PromptPlacement& placement,
+                                                                   const EngineRegistry& engines) {
   std::map<int, balancing::PromptReplicas::Engines> by_prompt;
   for (int prompt = 0; prompt < kPrompts; ++prompt) {
     by_prompt[prompt] = placement.replicas(key(prompt), engines.of_service("llm")).engines;
@@ -90,23 +91,23 @@
   return by_prompt;
 }
 
-/// What became of the copies of prompts when engines were lost.
-struct Moves {
-  int needed = 0;  ///< a prompt has more engines now than of its old ones are left
-  int made = 0;    ///< engines that keep a prompt anew
+/// Changes of the assignment after engines were removed.
+struct PlacementMoves {
+  int required = 0;  ///< copies that have to be placed, because too few of the old engines are left
+  int placed_anew = 0;  ///< copies that were placed on new engines
   int copies = 0;
 };
 
-Moves moves_between(const std::map<int, balancing::PromptReplicas::Engines>& before,
-                    const std::map<int, balancing::PromptReplicas::Engines>& after,
-                    const EngineRegistry& engines) {
-  Moves moves;
+PlacementMoves moves_between(const std::map<int, balancing::PromptReplicas::Engines>& before,
+                             const std::map<int, balancing::PromptReplicas::Engines>& after,
+                             const EngineRegistry& engines) {
+  PlacementMoves moves;
   for (const auto& [prompt, old] : before) {
-    int left = 0;
-    for (const auto& engine : old) left += engines.find(engine) != nullptr ? 1 : 0;
+    int remaining = 0;
+    for (const auto& engine : old) remaining += engines.find(engine) != nullptr ? 1 : 0;
     const auto& now = after.at(prompt);
-    for (const auto& engine : now) moves.made += old.count(engine) == 0 ? 1 : 0;
-    moves.needed += std::max(static_cast<int>(now.size()) - left, 0);
+    for (const auto& engine : now) moves.placed_anew += old.count(engine) == 0 ? 1 : 0;
+    moves.required += std::max(static_cast<int>(now.size()) - remaining, 0);
     moves.copies += static_cast<int>(now.size());
   }
   return moves;
@@ -114,16 +115,17 @@
 
 }  // namespace
 
-TEST_CASE("a prompt has engines by its part of the requests", "[balancing][prompts]") {
+TEST_CASE("a prompt gets engines in proportion to its share of the requests",
+          "[balancing][prompts]") {
   const auto engines = registry();
   PromptPlacement placement;
   const auto counts = skewed_counts(3'000);
-  placement.update(counts, engines.of_service("llm"), kCopies);
+  placement.update(counts, engines.of_service("llm"), kPromptsPerEngine);
   REQUIRE(placement.prompts() == kPrompts);
   std::map<std::string, int> copies;
   for (int prompt = 0; prompt < kPrompts; ++prompt) {
     const auto& replicas = placement.replicas(key(prompt), engines.of_service("llm"));
-    const double wanted = kCopies * kEngines * counts.at(key(prompt)) / 3'000;
+    const double wanted = kPromptsPerEngine * kEngines * counts.at(key(prompt)) / 3'000;
     INFO("prompt " << prompt << " wanted " << wanted);
     CHECK(std::abs(static_cast<double>(replicas.engines.size()) - wanted) <= 1);
     std::set<std::string> zones;
@@ -137,24 +139,24 @@
   REQUIRE(copies.size() == kEngines);
 }
 
-TEST_CASE("a prompt asked for once in a while has two engines", "[balancing][prompts]") {
+TEST_CASE("a rarely requested prompt has two engines", "[balancing][prompts]") {
   const auto engines = registry();
   PromptPlacement placement;
   auto counts = skewed_counts(3'000);
   counts[key(99)] = 1;
-  placement.update(counts, engines.of_service("llm"), kCopies);
+  placement.update(counts, engines.of_service("llm"), kPromptsPerEngine);
   REQUIRE(engines_of(placement, 99, engines) == 2);
 }
 
-TEST_CASE("before anything is known prompts get equal shares", "[balancing][prompts]") {
+TEST_CASE("without data all prompts get equal shares", "[balancing][prompts]") {
   const auto engines = registry();
   PromptPlacement placement;
-  placement.update({}, engines.of_service("llm"), kCopies);
+  placement.update({}, engines.of_service("llm"), kPromptsPerEngine);
   for (int prompt = 0; prompt < 8; ++prompt) {
     REQUIRE(engines_of(placement, prompt, engines) == 18);
   }
-  // A few requests more or less do not matter yet.
-  placement.update({{key(0), 1}, {key(1), 2}}, engines.of_service("llm"), kCopies);
+  // A few requests do not outweigh the prior yet.
+  placement.update({{key(0), 1}, {key(1), 2}}, engines.of_service("llm"), kPromptsPerEngine);
   REQUIRE(std::abs(engines_of(placement, 0, engines) - engines_of(placement, 1, engines)) <= 5);
 }
 
@@ -162,12 +164,12 @@
   const int count = GENERATE(0, 1, 2, 5);
   const auto engines = registry(count);
   PromptPlacement placement;
-  placement.update({{key(0), 1'000}}, engines.of_service("llm"), kCopies);
+  placement.update({{key(0), 1'000}}, engines.of_service("llm"), kPromptsPerEngine);
   REQUIRE(engines_of(placement, 0, engines) == count);
   REQUIRE(engines_of(placement, 1, engines) <= count);
 }
 
-TEST_CASE("memory bounds the prompts of an engine", "[balancing][prompts]") {
+TEST_CASE("memory limits the number of prompts per engine", "[balancing][prompts]") {
   REQUIRE(balancing::prompts_per_engine(0, 12'600) == 3);
   REQUIRE(balancing::prompts_per_engine(225'878, 0) == 3);
   REQUIRE(balancing::prompts_per_engine(225'878, 12'600) == 3);
@@ -175,62 +177,62 @@
   REQUIRE(balancing::prompts_per_engine(10'000, 25'000) == 1);
 }
 
-TEST_CASE("a prompt whose demand triples gets more engines and gives them back",
-          "[balancing][prompts]") {
+TEST_CASE("a prompt gets more engines while its demand is tripled", "[balancing][prompts]") {
   const auto engines = registry();
   PromptPlacement placement;
   const auto usual = skewed_counts(3'000);
-  placement.update(usual, engines.of_service("llm"), kCopies);
+  placement.update(usual, engines.of_service("llm"), kPromptsPerEngine);
   const auto before = placement.replicas(key(6), engines.of_service("llm")).engines;
   auto raised = usual;
   raised[key(6)] *= 3;
-  const auto changes = placement.update(raised, engines.of_service("llm"), kCopies);
+  const auto changes = placement.update(raised, engines.of_service("llm"), kPromptsPerEngine);
   const auto during = placement.replicas(key(6), engines.of_service("llm")).engines;
   CHECK(during.size() >= 2 * before.size());
-  // The engines that have read it keep it.
+  // The engines that have the prompt cached stay assigned.
   std::size_t kept = 0;
   for (const auto& engine : before) kept += during.count(engine);
   CHECK(kept + 1 >= before.size());
-  const bool told = std::any_of(changes.begin(), changes.end(), [&](const auto& change) {
+  const bool change_reported = std::any_of(changes.begin(), changes.end(), [&](const auto& change) {
     return change.prompt == key(6) && change.before == static_cast<int>(before.size()) &&
            change.after == static_cast<int>(during.size());
   });
-  CHECK(told);
-  placement.update(usual, engines.of_service("llm"), kCopies);
+  CHECK(change_reported);
+  placement.update(usual, engines.of_service("llm"), kPromptsPerEngine);
   const auto after = placement.replicas(key(6), engines.of_service("llm")).engines;
   CHECK(std::abs(static_cast<int>(after.size()) - static_cast<int>(before.size())) <= 1);
 }
 
-TEST_CASE("a prompt that nobody asks for any more gives its engines back", "[balancing][prompts]") {
+TEST_CASE("a prompt that is no longer requested loses its engines", "[balancing][prompts]") {
   const auto engines = registry();
   PromptPlacement placement;
   auto counts = skewed_counts(3'000);
-  placement.update(counts, engines.of_service("llm"), kCopies);
+  placement.update(counts, engines.of_service("llm"), kPromptsPerEngine);
   const int before = engines_of(placement, 0, engines);
   counts.erase(key(0));
-  const auto changes = placement.update(counts, engines.of_service("llm"), kCopies);
+  const auto changes = placement.update(counts, engines.of_service("llm"), kPromptsPerEngine);
   REQUIRE(placement.prompts() == kPrompts - 1);
-  const bool told = std::any_of(changes.begin(), changes.end(), [&](const auto& change) {
+  const bool change_reported = std::any_of(changes.begin(), changes.end(), [&](const auto& change) {
     return change.prompt == key(0) && change.before == before && change.after == 0;
   });
-  REQUIRE(told);
+  REQUIRE(change_reported);
 }
 
-TEST_CASE("demand that stays changes nothing", "[balancing][prompts]") {
+TEST_CASE("steady demand causes no changes", "[balancing][prompts]") {
   const auto engines = registry();
   PromptPlacement placement;
-  placement.update(skewed_counts(3'000), engines.of_service("llm"), kCopies);
+  placement.update(skewed_counts(3'000), engines.of_service("llm"), kPromptsPerEngine);
   for (const double all : {3'050.0, 2'950.0, 3'000.0, 6'000.0}) {
-    REQUIRE(placement.update(skewed_counts(all), engines.of_service("llm"), kCopies).empty());
+    REQUIRE(
+        placement.update(skewed_counts(all), engines.of_service("llm"), kPromptsPerEngine).empty());
   }
 }
 
-TEST_CASE("the loss of a third of the engines moves what it must", "[balancing][prompts]") {
+TEST_CASE("the loss of a third of the engines moves few other copies", "[balancing][prompts]") {
   auto engines = registry();
   PromptPlacement placement;
   const auto counts = skewed_counts(3'000);
-  placement.update(counts, engines.of_service("llm"), kCopies);
-  const auto before = keepers(placement, engines);
+  placement.update(counts, engines.of_service("llm"), kPromptsPerEngine);
+  const auto before = assigned_engines(placement, engines);
   SECTION("one engine") { engines.remove(record(5).id); }
   SECTION("one zone") {
     for (int engine = 2; engine < kEngines; engine += 3) engines.remove(record(engine).id);
@@ -240,41 +242,43 @@
       if (engine / 3 % 3 == 0) engines.remove(record(engine).id);
     }
   }
-  placement.update(counts, engines.of_service("llm"), kCopies);
-  const auto moves = moves_between(before, keepers(placement, engines), engines);
-  INFO("needed " << moves.needed << ", made " << moves.made << " of " << moves.copies);
-  // The bound on the prompts of an engine moves some more: 6 of 141, 3 of 94 and 15 of 89 copies.
-  CHECK(moves.made - moves.needed <= 0.2 * moves.copies);
+  placement.update(counts, engines.of_service("llm"), kPromptsPerEngine);
+  const auto moves = moves_between(before, assigned_engines(placement, engines), engines);
+  INFO("required " << moves.required << ", placed_anew " << moves.placed_anew << " of "
+                   << moves.copies);
+  // The limit on prompts per engine moves some more: 6 of 141, 3 of 94 and 15 of 89 copies.
+  CHECK(moves.placed_anew - moves.required <= 0.2 * moves.copies);
 }
 
-TEST_CASE("programs of an engine that fails move to others that keep the prompt",
+TEST_CASE("programs of a failed engine move to others with the prompt cached",
           "[balancing][prompts]") {
   const auto engines = registry();
   PromptPlacement placement;
-  placement.update(skewed_counts(3'000), engines.of_service("llm"), kCopies);
+  placement.update(skewed_counts(3'000), engines.of_service("llm"), kPromptsPerEngine);
   const auto& replicas = placement.replicas(key(0), engines.of_service("llm"));
-  auto asked = query(replicas, 1, "a");
+  auto request_query = query(replicas, 1, "a");
   std::set<std::string> used;
   for (std::size_t turn = 0; turn < replicas.engines.size(); ++turn) {
-    const auto engine = balancing::select_engine(engines, asked)->record.id;
+    const auto engine = balancing::select_engine(engines, request_query)->record.id;
     CHECK(replicas.hold(engine));
     CHECK(used.insert(engine).second);
-    asked.excluded.push_back(engine);
+    request_query.excluded.push_back(engine);
   }
-  // Then the next in the prompt's order, the same for all its programs.
-  const auto next = balancing::select_engine(engines, asked)->record.id;
+  // After them comes the next engine of the prompt's rendezvous order, the same for all its
+  // programs.
+  const auto next = balancing::select_engine(engines, request_query)->record.id;
   CHECK_FALSE(replicas.hold(next));
   auto other = query(replicas, 2, "a");
-  other.excluded = asked.excluded;
+  other.excluded = request_query.excluded;
   CHECK(balancing::select_engine(engines, other)->record.id == next);
 }
 
-TEST_CASE("programs stay in their zone while an engine there keeps their prompt and has room",
+TEST_CASE("programs stay in their zone while an engine there has their prompt and free slots",
           "[balancing][prompts]") {
   const auto engines = registry();
   PromptPlacement placement;
-  placement.update(skewed_counts(3'000), engines.of_service("llm"), kCopies);
-  for (const auto& [program, engine] : chosen(placement, engines, "b")) {
+  placement.update(skewed_counts(3'000), engines.of_service("llm"), kPromptsPerEngine);
+  for (const auto& [program, engine] : select_for_programs(placement, engines, "b")) {
     REQUIRE(engines.find(engine)->record.zone == "b");
   }
   const auto& replicas = placement.replicas(key(0), engines.of_service("llm"));
@@ -286,7 +290,7 @@
   REQUIRE(replicas.hold(elsewhere->record.id));
 }
 
-TEST_CASE("nodes with the same counts agree", "[balancing][prompts]") {
+TEST_CASE("nodes with the same counts compute the same placement", "[balancing][prompts]") {
   REQUIRE(rc::check([] {
     const auto requests = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 500));
     PromptCounts counts;
@@ -299,33 +303,33 @@
     for (int engine = count; engine-- > 0;) other.put(record(engine));
     PromptPlacement first;
     PromptPlacement second;
-    first.update(counts, one.of_service("llm"), kCopies);
-    second.update(counts, other.of_service("llm"), kCopies);
-    for (const auto& [prompt, asked] : counts) {
+    first.update(counts, one.of_service("llm"), kPromptsPerEngine);
+    second.update(counts, other.of_service("llm"), kPromptsPerEngine);
+    for (const auto& [prompt, request_query] : counts) {
       const auto& replicas = first.replicas(prompt, one.of_service("llm"));
       RC_ASSERT(replicas.engines == second.replicas(prompt, other.of_service("llm")).engines);
     }
   }));
 }
 
-TEST_CASE("nodes with the same counts and different pasts differ by at most one engine",
+TEST_CASE("nodes with the same counts and different histories differ by at most one engine",
           "[balancing][prompts]") {
   REQUIRE(rc::check([] {
     const auto engines = registry();
     const auto numbers = rc::gen::container<std::vector<int>>(kPrompts, rc::gen::inRange(0, 300));
     PromptPlacement first;
     PromptPlacement second;
-    const auto take = [&](PromptPlacement& placement, const std::vector<int>& requests) {
+    const auto update_with = [&](PromptPlacement& placement, const std::vector<int>& requests) {
       PromptCounts counts;
       for (int prompt = 0; prompt < kPrompts; ++prompt) counts[key(prompt)] = requests[prompt];
-      placement.update(counts, engines.of_service("llm"), kCopies);
+      placement.update(counts, engines.of_service("llm"), kPromptsPerEngine);
     };
-    take(first, *numbers);
-    take(second, *numbers);
+    update_with(first, *numbers);
+    update_with(second, *numbers);
     const auto now = *numbers;
     for (int update = 0; update < 12; ++update) {
-      take(first, now);
-      take(second, now);
+      update_with(first, now);
+      update_with(second, now);
     }
     for (int prompt = 0; prompt < kPrompts; ++prompt) {
       const int difference =
@@ -337,65 +341,66 @@
 
 namespace {
 
-/// Requests of a fleet in virtual time, and what two nodes know of them.
+/// Requests to a cluster in virtual time, as counted by nodes with data of different age.
 class Requests {
  public:
-  /// @return counts of the window that ended so many parts of half a second ago.
-  PromptCounts counts(std::size_t parts_ago) const {
+  /// @return counts of the window that ended the given number of half-second slices ago.
+  PromptCounts counts(std::size_t slices_ago) const {
     PromptCounts sum;
-    for (std::size_t part = parts_ago; part < parts_ago + kWindowParts; ++part) {
-      if (part >= parts_.size()) break;
-      for (const auto& [prompt, requests] : parts_[part]) sum[prompt] += requests;
+    for (std::size_t slice = slices_ago; slice < slices_ago + kWindowSlices; ++slice) {
+      if (slice >= slices_.size()) break;
+      for (const auto& [prompt, requests] : slices_[slice]) sum[prompt] += requests;
     }
     return sum;
   }
-  /// Half a second of requests at a prompt by its weight.
+  /// Adds half a second of requests, distributed over the prompts by weight.
   void step(int requests) {
-    PromptCounts part;
+    PromptCounts slice;
     double sum = 0;
     for (int prompt = 0; prompt < kPrompts; ++prompt) sum += weight(prompt);
     for (int request = 0; request < requests; ++request) {
-      double left = sum * static_cast<double>(random_.below(1'000'000)) / 1'000'000;
+      double remaining = sum * static_cast<double>(random_.below(1'000'000)) / 1'000'000;
       int prompt = 0;
-      while (prompt + 1 < kPrompts && left >= weight(prompt)) left -= weight(prompt++);
-      ++part[key(prompt)];
+      while (prompt + 1 < kPrompts && remaining >= weight(prompt)) remaining -= weight(prompt++);
+      ++slice[key(prompt)];
     }
-    parts_.push_front(part);
-    if (parts_.size() > 2 * kWindowParts) parts_.pop_back();
+    slices_.push_front(slice);
+    if (slices_.size() > 2 * kWindowSlices) slices_.pop_back();
   }
 
  private:
-  static constexpr std::size_t kWindowParts = 10;
+  static constexpr std::size_t kWindowSlices = 10;
   base::Random random_{1};
-  std::deque<PromptCounts> parts_;
+  std::deque<PromptCounts> slices_;
 };
 
 }  // namespace
 
-TEST_CASE("two nodes with news a second apart differ by at most one engine",
+TEST_CASE("two nodes with data one second apart differ by at most one engine",
           "[balancing][prompts]") {
   const auto engines = registry();
   PromptPlacement current;
-  PromptPlacement late;
+  PromptPlacement delayed;
   Requests requests;
   int changes = 0;
   constexpr int kSteps = 240;
   for (int step = 0; step < kSteps; ++step) {
     requests.step(250);
-    // Nodes settle once a second.
+    // Nodes update their placement once per second.
     if (step < 12 || step % 2 == 1) continue;
     const bool settled = step >= 32;
     changes += static_cast<int>(
-        current.update(requests.counts(0), engines.of_service("llm"), kCopies).size());
-    late.update(requests.counts(2), engines.of_service("llm"), kCopies);
+        current.update(requests.counts(0), engines.of_service("llm"), kPromptsPerEngine).size());
+    delayed.update(requests.counts(2), engines.of_service("llm"), kPromptsPerEngine);
     for (int prompt = 0; settled && prompt < kPrompts; ++prompt) {
       const int one = engines_of(current, prompt, engines);
-      const int other = engines_of(late, prompt, engines);
+      const int other = engines_of(delayed, prompt, engines);
       INFO("step " << step << ", prompt " << prompt << ": " << one << " and " << other);
       CHECK(std::abs(one - other) <= 1);
     }
   }
-  // In 2 minutes of 500 requests a second each prompt keeps its engines for four updates or more.
+  // In 2 minutes at 500 requests per second each prompt keeps its engines for at least four updates
+  // on average.
   INFO("changes " << changes);
   CHECK(changes <= kPrompts * kSteps / 2 / 4);
 }
--- a/tests/balancing/zone_reach_test.cpp
+++ b/tests/balancing/zone_reach_test.cpp
@@ -16,51 +16,51 @@
 
 }  // namespace
 
-TEST_CASE("a zone that falls silent is not reachable within a second, until a sign of it",
-          "[balancing]") {
-  ZoneReachability reach;
-  REQUIRE(reach.reachable("b", kStart));
-  reach.record_contact("b", kStart);
-  REQUIRE(reach.reachable("b", kStart + Millis(600)));
-  REQUIRE_FALSE(reach.reachable("b", kStart + Millis(900)));
-  REQUIRE(reach.reachable("c", kStart + Millis(900)));
-  reach.record_contact("b", kStart + Millis(950));
-  REQUIRE(reach.reachable("b", kStart + Millis(1000)));
+TEST_CASE("a zone becomes unreachable within a second without contact", "[balancing]") {
+  ZoneReachability reachability;
+  REQUIRE(reachability.reachable("b", kStart));
+  reachability.record_contact("b", kStart);
+  REQUIRE(reachability.reachable("b", kStart + Millis(600)));
+  REQUIRE_FALSE(reachability.reachable("b", kStart + Millis(900)));
+  REQUIRE(reachability.reachable("c", kStart + Millis(900)));
+  reachability.record_contact("b", kStart + Millis(950));
+  REQUIRE(reachability.reachable("b", kStart + Millis(1000)));
 }
 
-TEST_CASE("old signs do not make a zone older", "[balancing]") {
-  ZoneReachability reach;
-  reach.record_contact("b", kStart + Millis(500));
-  reach.record_contact("b", kStart);
-  REQUIRE(reach.reachable("b", kStart + Millis(1100)));
+TEST_CASE("an older contact does not replace a newer one", "[balancing]") {
+  ZoneReachability reachability;
+  reachability.record_contact("b", kStart + Millis(500));
+  reachability.record_contact("b", kStart);
+  REQUIRE(reachability.reachable("b", kStart + Millis(1100)));
 }
 
-TEST_CASE("a connection is tried before a zone counts as silent, and then again and again",
+TEST_CASE("a zone is probed before it becomes unreachable and periodically afterwards",
           "[balancing]") {
-  ZoneReachability reach;
-  REQUIRE_FALSE(reach.should_probe("b", kStart));
-  reach.record_contact("b", kStart);
-  int tries = 0;
+  ZoneReachability reachability;
+  REQUIRE_FALSE(reachability.should_probe("b", kStart));
+  reachability.record_contact("b", kStart);
+  int probes = 0;
   net::TimePoint first{};
   for (auto now = kStart; now < kStart + Millis(5400); now += kTick) {
-    if (!reach.should_probe("b", now)) continue;
-    if (tries++ == 0) first = now;
+    if (!reachability.should_probe("b", now)) continue;
+    if (probes++ == 0) first = now;
   }
   REQUIRE(first == kStart + Millis(600));
-  REQUIRE(reach.reachable("b", first));
-  REQUIRE(tries == 8);
+  REQUIRE(reachability.reachable("b", first));
+  REQUIRE(probes == 8);
 }
 
-TEST_CASE("a zone without nodes whose engines take connections stays in use", "[balancing]") {
-  ZoneReachability reach;
-  reach.record_contact("b", kStart);
+TEST_CASE("a zone whose nodes are down stays in use while its engines accept connections",
+          "[balancing]") {
+  ZoneReachability reachability;
+  reachability.record_contact("b", kStart);
   for (auto now = kStart; now < kStart + Millis(60'000); now += kTick) {
-    if (reach.should_probe("b", now)) reach.record_contact("b", now + Millis(3));
-    REQUIRE(reach.reachable("b", now));
+    if (reachability.should_probe("b", now)) reachability.record_contact("b", now + Millis(3));
+    REQUIRE(reachability.reachable("b", now));
   }
 }
 
-TEST_CASE("engines of a silent zone come last, not never", "[balancing]") {
+TEST_CASE("engines of an unreachable zone rank last but stay eligible", "[balancing]") {
   balancing::EngineRegistry registry;
   const auto engine = [](const std::string& id, const std::string& zone) {
     balancing::EngineRecord record;
