--- a/tests/balancing/engine_speed_test.cpp
+++ b/tests/balancing/engine_speed_test.cpp
@@ -129,7 +129,7 @@
   });
 }
 
-TEST_CASE("one wrong_report report does not outweigh the others", "[balancing]") {
+TEST_CASE("one wrong report does not outweigh the others", "[balancing]") {
   cluster::EngineSpeeds sum;
   wire::EngineSpeed wrong_report;
   wrong_report.permille = 1;
@@ -144,7 +144,7 @@
 
 TEST_CASE("merging speed reports is independent of order and stays within bounds", "[cluster]") {
   using Figures = std::vector<std::pair<std::int32_t, std::int32_t>>;
-  rc::check([](const Figures& peers) {
+  rc::check([](const Figures& figures) {
     cluster::EngineSpeeds forward;
     cluster::EngineSpeeds backward;
     const auto one = [](const std::pair<std::int32_t, std::int32_t>& figure) {
@@ -153,10 +153,10 @@
       speed.samples = figure.second;
       return cluster::EngineSpeeds{{1, speed}};
     };
-    for (auto figure = peers.begin(); figure != peers.end(); ++figure) {
+    for (auto figure = figures.begin(); figure != peers.end(); ++figure) {
       cluster::add_speeds(one(*figure), forward);
     }
-    for (auto figure = peers.rbegin(); figure != peers.rend(); ++figure) {
+    for (auto figure = figures.rbegin(); figure != peers.rend(); ++figure) {
       cluster::add_speeds(one(*figure), backward);
     }
     RC_ASSERT(forward.size() == backward.size());
@@ -167,7 +167,7 @@
     RC_ASSERT(forward.at(1).samples > 0);
     // Each merge truncates by less than one.
     const auto difference = std::abs(forward.at(1).permille - backward.at(1).permille);
-    RC_ASSERT(difference <= static_cast<int>(peers.size()));
+    RC_ASSERT(difference <= static_cast<int>(figures.size()));
   });
 }
 
--- a/tests/balancing/prompt_load_test.cpp
+++ b/tests/balancing/prompt_load_test.cpp
@@ -108,7 +108,7 @@
   }
 
   void update_placements() {
-    const auto counts = demand_.delayed_count(time());
+    const auto counts = demand_.told(time());
     for (int node = 0; node < kNodes; ++node) {
       placements_[node].update(counts, registries_[node].of_service("llm"),
                                balancing::prompts_per_engine(0, 0));
--- a/tests/balancing/prompt_placement_test.cpp
+++ b/tests/balancing/prompt_placement_test.cpp
@@ -244,7 +244,7 @@
   }
   placement.update(counts, engines.of_service("llm"), kPromptsPerEngine);
   const auto moves = moves_between(before, assigned_engines(placement, engines), engines);
-  INFO("required " << moves.required << ", placed_anew " << moves.placed_anew << " of "
+  INFO("required " << moves.required << ", newly placed " << moves.placed_anew << " of "
                    << moves.copies);
   // The limit on prompts per engine moves some more: 6 of 141, 3 of 94 and 15 of 89 copies.
   CHECK(moves.placed_anew - moves.required <= 0.2 * moves.copies);
@@ -305,7 +305,7 @@
     PromptPlacement second;
     first.update(counts, one.of_service("llm"), kPromptsPerEngine);
     second.update(counts, other.of_service("llm"), kPromptsPerEngine);
-    for (const auto& [prompt, request_query] : counts) {
+    for (const auto& [prompt, prompt_requests] : counts) {
       const auto& replicas = first.replicas(prompt, one.of_service("llm"));
       RC_ASSERT(replicas.engines == second.replicas(prompt, other.of_service("llm")).engines);
     }
