--- a/src/balancing/exchange_times.cpp
+++ b/src/balancing/exchange_times.cpp
@@ -41,7 +41,7 @@
       .add(times.first_event_ms);
   if (times.prompt_cached) service.turn_cached.add(times.total_ms);
   if (times.mean_event_gap_ms <= 0) return;
-  const bool known = service.events.usual().known();
+  const bool known = service.events.typical().known();
   const double slowness = service.events.add(times.mean_event_gap_ms, engine);
   if (known) engine.own_speed.add(slowness, now);
 }
@@ -51,7 +51,7 @@
   auto& routes = services_[engine.record.service].routes;
   if (routes.count(route) == 0 && routes.size() >= kMaxRoutes) return;
   auto& times = routes[route];
-  const bool known = times.usual().known();
+  const bool known = times.typical().known();
   const double slowness = times.add(milliseconds, engine);
   if (known) engine.own_speed.add(slowness, now);
 }
--- a/src/balancing/exchange_times.hpp
+++ b/src/balancing/exchange_times.hpp
@@ -27,7 +27,7 @@
   /// @return the engine's slowness: natural logarithm of the sample divided by the typical time at
   /// this load; 0 while the typical time is unknown.
   double add(double milliseconds, const Engine& engine);
-  const RunningMedian& usual() const { return typical_; }
+  const RunningMedian& typical() const { return typical_; }
 
  private:
   /// Load levels in quarters of the slots, up to twice the slots.
--- a/src/balancing/zone_reach.cpp
+++ b/src/balancing/zone_reach.cpp
@@ -16,7 +16,7 @@
 /// waiting for a timeout.
 constexpr net::Millis kUnreachableAfter{900};
 /// Time between probes. Short enough that a zone whose engines accept connections never counts as
-/// unreachable, even if all of its nodes are down; adds few connections to a node's usual work.
+/// unreachable, even if all of its nodes are down; adds few connections to a node's normal traffic.
 constexpr net::Millis kProbeInterval{600};
 
 }  // namespace
--- a/tests/balancing/engine_speed_test.cpp
+++ b/tests/balancing/engine_speed_test.cpp
@@ -153,10 +153,10 @@
       speed.samples = figure.second;
       return cluster::EngineSpeeds{{1, speed}};
     };
-    for (auto figure = figures.begin(); figure != peers.end(); ++figure) {
+    for (auto figure = figures.begin(); figure != figures.end(); ++figure) {
       cluster::add_speeds(one(*figure), forward);
     }
-    for (auto figure = figures.rbegin(); figure != peers.rend(); ++figure) {
+    for (auto figure = figures.rbegin(); figure != figures.rend(); ++figure) {
       cluster::add_speeds(one(*figure), backward);
     }
     RC_ASSERT(forward.size() == backward.size());
