--- a/src/balancing/prompt_placement.cpp
+++ b/src/balancing/prompt_placement.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Mean number of prompts cached per engine; see prompts_per_engine().
+/// Upper limit of the mean number of prompts cached per engine; see prompts_per_engine().
 constexpr double kMaxPromptsPerEngine = 3.0;
 /// Share of an engine's memory for shared prompts. The rest is for the lines that run there.
 constexpr double kPromptMemoryShare = 0.5;
@@ -53,7 +53,7 @@
       engines.begin(), engines.end(), [](const auto& engine) { return engine->usable(); }));
 }
 
-/// At most kMaxPlacedPrompts, the most frequent first.
+/// The most frequent prompts, at most kMaxPlacedPrompts.
 PromptCounts most_frequent(const PromptCounts& counts) {
   if (counts.size() <= kMaxPlacedPrompts) return counts;
   std::vector<std::pair<std::int32_t, std::int32_t>> by_requests;
