--- a/src/cluster/turn_keeper.cpp
+++ b/src/cluster/turn_keeper.cpp
@@ -37,8 +37,8 @@
 }
 
 /// Status by which a holder answers a call for its tokens.
-net::http::status status_of(const ledger::GiveBackResult& result) {
-  if (result.given) return net::http::status::ok;
+net::http::status status_of(const ledger::ReleaseResult& result) {
+  if (result.released) return net::http::status::ok;
   return result.complete ? net::http::status::no_content : net::http::status::service_unavailable;
 }
 
@@ -90,7 +90,7 @@
   if (!store_.answers()) {
     // Waiting would make the program late; most turns use far less than their most.
     start.reserved =
-        ledger_.budgets.reserve_rest(request.program.text(), request.tokens, request.budget);
+        ledger_.budgets.reserve_remaining(request.program.text(), request.tokens, request.budget);
     if (start.reserved > 0) co_return;
   }
   start.reservation = co_await reserve_whole(request, deadline);
@@ -102,7 +102,7 @@
   auto outcome = co_await ledger_.budgets.reserve(request.program.text(), request.tokens,
                                                   request.budget, deadline);
   if (outcome != ReserveOutcome::kExhausted) co_return outcome;
-  if (ledger_.budgets.exhausted_lately(request.program.text(), request.tokens)) co_return outcome;
+  if (ledger_.budgets.recently_exhausted(request.program.text(), request.tokens)) co_return outcome;
   const auto gathering = co_await gather_tokens(request.program.text());
   if (gathering.released) {
     outcome = co_await ledger_.budgets.reserve(request.program.text(), request.tokens,
@@ -113,7 +113,7 @@
   if (!gathering.all_answered) co_return ReserveOutcome::kUnavailable;
   // The owner of the program's shard may hold an escrow that this node does not know of.
   if (!knows_whole_budget(request.program.text())) co_return ReserveOutcome::kUnavailable;
-  ledger_.budgets.note_exhausted(request.program.text(), request.tokens);
+  ledger_.budgets.mark_exhausted(request.program.text(), request.tokens);
   co_return outcome;
 }
 
@@ -158,7 +158,7 @@
   if (start.previous == nullptr) message.previous = request.previous.text();
   message.tokens = request.tokens;
   message.budget = request.budget;
-  const auto store_time = std::clamp(ledger_.budgets.store_patience() * kHomeStoreTries,
+  const auto store_time = std::clamp(ledger_.budgets.store_call_timeout() * kHomeStoreTries,
                                      kShortestHomeTime, kLongestHomeTime);
   const auto timeout =
       std::max(std::min(store_time + kHomeMargin, left_until(deadline)), net::Millis(1));
@@ -192,7 +192,7 @@
   if (!message.previous.empty()) {
     start.lookup = static_cast<LookupOutcome>(reply->lookup);
     if (start.lookup == LookupOutcome::kFound) {
-      start.previous = ledger_.turns.remember_chain(reply->chain, nullptr);
+      start.previous = ledger_.turns.cache_chain(reply->chain, nullptr);
     }
   }
   co_return start.lookup != LookupOutcome::kUnavailable&& start.reservation !=
@@ -240,7 +240,7 @@
   if (end.reserved > 0) message.__set_reservation_id(start.reservation_id);
   message.used = end.used;
   message.engine = end.engine;
-  if (end.turn != nullptr) message.chain = ledger::encode_whole_chain(*end.turn);
+  if (end.turn != nullptr) message.chain = ledger::encode_chain(*end.turn);
   net::asio::co_spawn(context_, end_at(*peer, std::move(message)), net::asio::detached);
 }
 
@@ -306,13 +306,13 @@
   reply.reservation = static_cast<wire::TurnReservation::type>(start.reservation);
   reply.engine = start.engine;
   reply.reserved = start.reserved;
-  if (start.previous != nullptr) reply.chain = ledger::encode_whole_chain(*start.previous);
+  if (start.previous != nullptr) reply.chain = ledger::encode_chain(*start.previous);
   response.body() = wire::encode(reply);
 }
 
 void TurnKeeper::note_end(const wire::EndTurn& message) {
   if (!message.engine.empty()) placements_.note(message.program, message.line, message.engine);
-  if (!message.chain.segments.empty()) ledger_.turns.remember_chain(message.chain, nullptr);
+  if (!message.chain.segments.empty()) ledger_.turns.cache_chain(message.chain, nullptr);
 }
 
 void TurnKeeper::serve_end(const net::TextRequest& request) {
--- a/src/ledger/budget_account.cpp
+++ b/src/ledger/budget_account.cpp
@@ -21,7 +21,7 @@
   largest_escrow_ = std::max(largest_escrow_, tokens);
 }
 
-std::int64_t BudgetAccount::spent_of_escrow() const {
+std::int64_t BudgetAccount::escrow_spent() const {
   return std::min(largest_escrow_, used_ + reserved_);
 }
 
@@ -113,7 +113,7 @@
   return row;
 }
 
-std::optional<wire::BudgetRow> BudgetAccount::unchanged(std::size_t share) {
+std::optional<wire::BudgetRow> BudgetAccount::current_row(std::size_t share) {
   const auto& row = shares_[share].row;
   if (row.granted.count(holder_) == 0) return std::nullopt;
   return row;
@@ -129,7 +129,7 @@
   return {holders.begin(), holders.end()};
 }
 
-void BudgetAccount::adopt(std::size_t share, wire::BudgetRow row, std::int64_t version) {
+void BudgetAccount::apply_stored_row(std::size_t share, wire::BudgetRow row, std::int64_t version) {
   auto& entry = shares_[share];
   if (version < entry.version) return;
   entry.uncertain = false;
@@ -143,7 +143,7 @@
   entry.granted = same_version ? std::min(entry.granted, granted) : granted;
 }
 
-void BudgetAccount::adopt_absent(std::size_t share) {
+void BudgetAccount::apply_missing_row(std::size_t share) {
   auto& entry = shares_[share];
   entry.uncertain = false;
   entry.row = {};
--- a/src/ledger/budget_account.hpp
+++ b/src/ledger/budget_account.hpp
@@ -32,7 +32,7 @@
   /// ledger/escrow_shard.hpp.
   void set_escrow(std::int64_t tokens);
   /// Most of the escrow that can have been used since this object began, reservations included.
-  std::int64_t spent_of_escrow() const;
+  std::int64_t escrow_spent() const;
   /// Takes tokens from what is granted. @return false when there are too few.
   bool reserve(std::int64_t tokens);
   /// Ends a reservation; what was not used can be reserved again.
@@ -60,19 +60,19 @@
   /// meanwhile. nullopt while a turn is under way, or when there is nothing to write.
   std::optional<wire::BudgetRow> begin_retirement(std::size_t share);
   /// Row of a share as it is known; nullopt when it has no entry of this holder.
-  std::optional<wire::BudgetRow> unchanged(std::size_t share);
+  std::optional<wire::BudgetRow> current_row(std::size_t share);
   /// Holders, other than this one, that have tokens granted.
   std::vector<std::int64_t> other_holders() const;
 
   /// Takes a share's row as the store has it. An entry of this holder that this object did not
   /// write counts as spent. A row of the version already known does not raise the grant: a write
   /// whose answer was lost may still lower it.
-  void adopt(std::size_t share, wire::BudgetRow row, std::int64_t version);
+  void apply_stored_row(std::size_t share, wire::BudgetRow row, std::int64_t version);
   /// A write of the share's row had no answer: the row may hold what this object does not know.
-  void note_unanswered(std::size_t share) { shares_[share].uncertain = true; }
+  void mark_uncertain(std::size_t share) { shares_[share].uncertain = true; }
   bool uncertain(std::size_t share) const { return shares_[share].uncertain; }
   /// The store has no row of the share: a later write must create it.
-  void adopt_absent(std::size_t share);
+  void apply_missing_row(std::size_t share);
   std::int64_t version(std::size_t share) const { return shares_[share].version; }
 
  private:
--- a/src/ledger/budget_ledger.cpp
+++ b/src/ledger/budget_ledger.cpp
@@ -21,7 +21,7 @@
 constexpr net::Millis kForgetTime{500};
 constexpr std::size_t kForgottenAtOnce = 16;
 /// A budget that nobody wrote for so long belongs to a program that has ended: none lives for more
-/// than ten minutes (kLongestProgram), and holders write theirs at least twice in this time. A
+/// than ten minutes (kMaxProgramLifetime), and holders write theirs at least twice in this time. A
 /// program's rows and their entries take some 200 bytes: by reckoning 32 MB in this time at 90
 /// programs a second, 130 MB in two hours.
 constexpr net::Millis kBudgetLife{std::chrono::minutes(30)};
@@ -66,10 +66,10 @@
   auto entry = program(id);
   update_escrow(id, *entry, tokens, budget);
   if (entry->account.reserve(tokens)) co_return ReserveOutcome::kReserved;
-  if (exhausted_lately(id, tokens)) co_return ReserveOutcome::kExhausted;
+  if (recently_exhausted(id, tokens)) co_return ReserveOutcome::kExhausted;
   const auto guard = co_await entry->mutex.lock();
   // Programs without end ask many times at once: one of them finds out for all.
-  if (exhausted_lately(id, tokens)) co_return ReserveOutcome::kExhausted;
+  if (recently_exhausted(id, tokens)) co_return ReserveOutcome::kExhausted;
   TokenDemand demand{tokens, budget, net::Clock::now(), deadline};
   while (true) {
     demand.from_rows = update_escrow(id, *entry, tokens, budget);
@@ -79,8 +79,8 @@
   }
 }
 
-std::int64_t BudgetLedger::reserve_rest(const std::string& id, std::int64_t tokens,
-                                        std::int64_t budget) {
+std::int64_t BudgetLedger::reserve_remaining(const std::string& id, std::int64_t tokens,
+                                             std::int64_t budget) {
   auto entry = program(id);
   update_escrow(id, *entry, tokens, budget);
   const auto rest = std::min(entry->account.available(), tokens);
@@ -213,10 +213,10 @@
                                        wire::BudgetRow row, const StoreResult& result) {
   const auto now = net::Clock::now();
   if (store::answered(result.status)) budget_parts_.note(budget_row(id, share).part, true, now);
-  if (result.status == StoreStatus::kUnknown) program.account.note_unanswered(share);
-  if (result.status == StoreStatus::kConflict) adopt_rows(program, share, result);
+  if (result.status == StoreStatus::kUnknown) program.account.mark_uncertain(share);
+  if (result.status == StoreStatus::kConflict) apply_read(program, share, result);
   if (result.status == StoreStatus::kDone) {
-    program.account.adopt(share, std::move(row), result.version);
+    program.account.apply_stored_row(share, std::move(row), result.version);
     program.last_written = now;
   }
   return result.status;
@@ -235,24 +235,24 @@
   budget_parts_.note(row_id.part, done, net::Clock::now());
   if (!done) co_return false;
   if (!result.rows.empty() && result.rows.front().id.key != id) result.rows.clear();
-  adopt_rows(*program, share, result);
+  apply_read(*program, share, result);
   co_return true;
 }
 
-void BudgetLedger::adopt_rows(Program& program, std::size_t share,
+void BudgetLedger::apply_read(Program& program, std::size_t share,
                               const store::StoreResult& result) {
   if (result.rows.empty() || result.rows.front().version == 0) {
-    program.account.adopt_absent(share);
+    program.account.apply_missing_row(share);
     return;
   }
   const auto& row = result.rows.front();
-  program.account.adopt(share, wire::decode<wire::BudgetRow>(row.value), row.version);
+  program.account.apply_stored_row(share, wire::decode<wire::BudgetRow>(row.value), row.version);
 }
 
-net::asio::awaitable<GiveBackResult> BudgetLedger::give_back_share(std::string id,
-                                                                   ProgramPointer program,
-                                                                   std::size_t share, GiveBack plan,
-                                                                   net::TimePoint deadline) {
+net::asio::awaitable<ReleaseResult> BudgetLedger::give_back_share(std::string id,
+                                                                  ProgramPointer program,
+                                                                  std::size_t share, GiveBack plan,
+                                                                  net::TimePoint deadline) {
   auto& account = program->account;
   while (time_left(deadline)) {
     if (account.uncertain(share)) {
@@ -260,33 +260,32 @@
       if (!known) break;
     }
     auto row = (account.*plan)(share);
-    if (!row) co_return GiveBackResult{};
+    if (!row) co_return ReleaseResult{};
     auto write = budget_write(id, *program, share, *row);
     const auto result = co_await store_.transact(std::move(write), deadline);
     const auto status = take_written(id, *program, share, std::move(*row), result);
-    if (status == StoreStatus::kDone) co_return GiveBackResult{true, true};
+    if (status == StoreStatus::kDone) co_return ReleaseResult{true, true};
     if (status == StoreStatus::kFull) break;
   }
-  co_return GiveBackResult{false, false};
+  co_return ReleaseResult{false, false};
 }
 
-net::asio::awaitable<GiveBackResult> BudgetLedger::give_back(std::string id, ProgramPointer program,
-                                                             GiveBack plan,
-                                                             net::TimePoint deadline) {
+net::asio::awaitable<ReleaseResult> BudgetLedger::give_back(std::string id, ProgramPointer program,
+                                                            GiveBack plan,
+                                                            net::TimePoint deadline) {
   const auto guard = co_await program->mutex.lock();
-  GiveBackResult result;
+  ReleaseResult result;
   for (const auto share : shares_by_health(id)) {
     const auto of_share = co_await give_back_share(id, program, share, plan, deadline);
-    result.given = result.given || of_share.given;
+    result.released = result.released || of_share.released;
     result.complete = result.complete && of_share.complete;
   }
   co_return result;
 }
 
-net::asio::awaitable<GiveBackResult> BudgetLedger::release(std::string id,
-                                                           net::TimePoint deadline) {
+net::asio::awaitable<ReleaseResult> BudgetLedger::release(std::string id, net::TimePoint deadline) {
   const auto entry = programs_.find(id);
-  if (entry == programs_.end()) co_return GiveBackResult{};
+  if (entry == programs_.end()) co_return ReleaseResult{};
   auto held = entry->second;
   co_return co_await give_back(id, held, &BudgetAccount::begin_release, deadline);
 }
@@ -337,14 +336,14 @@
   // NOTE: a turn may have come meanwhile; its account goes on with what the row says.
   const bool unused = held->last_used == last_used && held->account.idle();
   if (!result.complete || !unused) co_return;
-  escrow_.remember_spent(id, held->account.spent_of_escrow());
+  escrow_.record_spent(id, held->account.escrow_spent());
   programs_.erase(id);
 }
 
-std::map<std::string, std::int64_t> BudgetLedger::spent_of_escrow() const {
+std::map<std::string, std::int64_t> BudgetLedger::escrow_spent() const {
   std::map<std::string, std::int64_t> spent;
   for (const auto& [id, program] : programs_) {
-    const auto tokens = program->account.spent_of_escrow();
+    const auto tokens = program->account.escrow_spent();
     if (tokens > 0) spent[id] = tokens;
   }
   return spent;
@@ -352,10 +351,10 @@
 
 net::asio::awaitable<void> BudgetLedger::touch(std::string id) {
   auto held = programs_.at(id);
-  co_await give_back(id, held, &BudgetAccount::unchanged, net::Clock::now() + kForgetTime);
+  co_await give_back(id, held, &BudgetAccount::current_row, net::Clock::now() + kForgetTime);
 }
 
-void BudgetLedger::forget_idle(net::TimePoint now) {
+void BudgetLedger::evict_idle(net::TimePoint now) {
   if (now < next_forgetting_) return;
   next_forgetting_ = now + kForgetInterval;
   std::size_t begun = 0;
@@ -378,13 +377,13 @@
   return program(id)->account.other_holders();
 }
 
-void BudgetLedger::note_exhausted(const std::string& id, std::int64_t tokens) {
+void BudgetLedger::mark_exhausted(const std::string& id, std::int64_t tokens) {
   auto entry = program(id);
   entry->exhausted_tokens = tokens;
   entry->exhausted_until = net::Clock::now() + kExhaustedMemory;
 }
 
-bool BudgetLedger::exhausted_lately(const std::string& id, std::int64_t tokens) const {
+bool BudgetLedger::recently_exhausted(const std::string& id, std::int64_t tokens) const {
   const auto entry = programs_.find(id);
   return entry != programs_.end() && tokens >= entry->second->exhausted_tokens &&
          net::Clock::now() < entry->second->exhausted_until;
--- a/src/ledger/budget_ledger.hpp
+++ b/src/ledger/budget_ledger.hpp
@@ -26,9 +26,9 @@
 };
 
 /// How giving tokens back ended.
-struct GiveBackResult {
-  bool given = false;    ///< the store has some tokens back
-  bool complete = true;  ///< nothing that was to be given is left
+struct ReleaseResult {
+  bool released = false;  ///< the store has some tokens back
+  bool complete = true;   ///< nothing that was to be given is left
 };
 
 /// Not thread-safe: belongs to the event loop. All waits end before the given deadline.
@@ -44,28 +44,29 @@
                                                std::int64_t budget, net::TimePoint deadline);
   /// Sets what is left of this node's tokens aside for one turn, without the store.
   /// @return tokens reserved, `tokens` at most; 0: too few to be of use.
-  std::int64_t reserve_rest(const std::string& program, std::int64_t tokens, std::int64_t budget);
+  std::int64_t reserve_remaining(const std::string& program, std::int64_t tokens,
+                                 std::int64_t budget);
   /// The budget cannot hold a turn of so many tokens, and no holder gives any back: said again from
   /// memory for a short time, as programs without end ask again and again.
-  void note_exhausted(const std::string& program, std::int64_t tokens);
-  bool exhausted_lately(const std::string& program, std::int64_t tokens) const;
+  void mark_exhausted(const std::string& program, std::int64_t tokens);
+  bool recently_exhausted(const std::string& program, std::int64_t tokens) const;
   /// Ends a reservation. @param used tokens that were handed to the caller.
   void settle(const std::string& program, std::int64_t reserved, std::int64_t used);
 
   /// Time in which the store answers a call, if it does.
-  net::Millis store_patience() const { return store_.patience(); }
+  net::Millis store_call_timeout() const { return store_.patience(); }
   store::LatencyEstimate& latency() { return store_.latency(); }
 
   /// Gives back tokens of the program that no turn uses.
-  net::asio::awaitable<GiveBackResult> release(std::string program, net::TimePoint deadline);
+  net::asio::awaitable<ReleaseResult> release(std::string program, net::TimePoint deadline);
   /// Gives back the unused tokens of all programs, those used last first, as far as the time goes:
   /// this process stops.
   net::asio::awaitable<void> release_all(net::TimePoint deadline);
   /// Tokens of their escrow that programs in memory spent, by program.
-  std::map<std::string, std::int64_t> spent_of_escrow() const;
+  std::map<std::string, std::int64_t> escrow_spent() const;
   /// Gives back the tokens of programs that were not used for long, and forgets them; keeps the
   /// rows of the others from expiring.
-  void forget_idle(net::TimePoint now);
+  void evict_idle(net::TimePoint now);
   /// Programs in memory.
   std::size_t programs() const { return programs_.size(); }
   /// Other processes that hold tokens of the program, as far as this one knows.
@@ -118,8 +119,8 @@
 
   ProgramPointer program(const std::string& id);
   /// Writes what `plan` gives for each share until that holds.
-  net::asio::awaitable<GiveBackResult> give_back(std::string id, ProgramPointer program,
-                                                 GiveBack plan, net::TimePoint deadline);
+  net::asio::awaitable<ReleaseResult> give_back(std::string id, ProgramPointer program,
+                                                GiveBack plan, net::TimePoint deadline);
   net::asio::awaitable<ReserveOutcome> raise_grant(std::string id, ProgramPointer program,
                                                    TokenDemand demand);
   /// Raises the grant in one share after the other until the turn is held.
@@ -140,9 +141,9 @@
                                   wire::BudgetRow row, const store::StoreResult& result);
   net::asio::awaitable<bool> read_budget(std::string id, ProgramPointer program, std::size_t share,
                                          net::TimePoint deadline);
-  net::asio::awaitable<GiveBackResult> give_back_share(std::string id, ProgramPointer program,
-                                                       std::size_t share, GiveBack plan,
-                                                       net::TimePoint deadline);
+  net::asio::awaitable<ReleaseResult> give_back_share(std::string id, ProgramPointer program,
+                                                      std::size_t share, GiveBack plan,
+                                                      net::TimePoint deadline);
   void log_exhausted(const std::string& id, const BudgetAccount& account,
                      const TokenDemand& demand);
   /// Gives back the tokens of one program after the other until none is left.
@@ -152,7 +153,7 @@
   net::asio::awaitable<void> touch(std::string id);
   /// Programs with unused tokens, those used last first.
   std::vector<std::string> holding_by_use() const;
-  static void adopt_rows(Program& program, std::size_t share, const store::StoreResult& result);
+  static void apply_read(Program& program, std::size_t share, const store::StoreResult& result);
 
   net::asio::io_context& context_;
   store::RetryingStore store_;
--- a/src/ledger/escrow_claims.cpp
+++ b/src/ledger/escrow_claims.cpp
@@ -38,7 +38,7 @@
 void EscrowClaims::enable(EscrowPeers peers) { peers_ = std::move(peers); }
 
 bool EscrowClaims::spendable(const Claim& claim) const {
-  return claim.row.spendable && net::Clock::now() < claim.written_at + kClaimLife;
+  return claim.row.spendable && net::Clock::now() < claim.written_at + kClaimLifetime;
 }
 
 std::vector<std::int16_t> EscrowClaims::shards(bool wanted) const {
@@ -61,14 +61,14 @@
 BudgetDivision EscrowClaims::division(const std::string& program, std::int64_t budget,
                                       std::int64_t turn_tokens) const {
   if (!enabled()) return {0, budget};
-  if (!may_spend(program)) return division_of_others(budget, turn_tokens);
-  auto division = division_of_owner(budget, turn_tokens);
-  division.escrow = std::max<std::int64_t>(division.escrow - spent_before(program), 0);
+  if (!may_spend(program)) return non_owner_division(budget, turn_tokens);
+  auto division = owner_division(budget, turn_tokens);
+  division.escrow = std::max<std::int64_t>(division.escrow - previously_spent(program), 0);
   return division;
 }
 
-std::int64_t EscrowClaims::spent_before(const std::string& program) const {
-  const auto digest = escrow_digest_of(program);
+std::int64_t EscrowClaims::previously_spent(const std::string& program) const {
+  const auto digest = escrow_digest(program);
   std::int64_t tokens = 0;
   const auto own = spent_.find(digest);
   if (own != spent_.end()) tokens += own->second.tokens;
@@ -79,9 +79,9 @@
   return tokens;
 }
 
-void EscrowClaims::remember_spent(const std::string& program, std::int64_t spent) {
+void EscrowClaims::record_spent(const std::string& program, std::int64_t spent) {
   if (!enabled() || spent <= 0) return;
-  auto& entry = spent_[escrow_digest_of(program)];
+  auto& entry = spent_[escrow_digest(program)];
   entry.tokens += spent;
   entry.last_used = net::Clock::now();
 }
@@ -90,7 +90,7 @@
   if (now < next_forgetting_) return;
   next_forgetting_ = now + kForgetInterval;
   for (auto entry = spent_.begin(); entry != spent_.end();) {
-    const bool ended = now >= entry->second.last_used + kLongestProgram;
+    const bool ended = now >= entry->second.last_used + kMaxProgramLifetime;
     entry = ended ? spent_.erase(entry) : std::next(entry);
   }
 }
@@ -126,7 +126,7 @@
     }
     const auto current = wire::decode<wire::EscrowRow>(found->second->value);
     // NOTE: an owner that lives and was not heard naming the shard yet has just claimed it.
-    if (current.owner != 0 && current.owner != holder_ && peers_->lives(current.owner)) continue;
+    if (current.owner != 0 && current.owner != holder_ && peers_->is_alive(current.owner)) continue;
     write.row = plan_claim(&current, holder_, now_ms);
     write.version = found->second->version;
     writes.push_back(std::move(write));
@@ -152,7 +152,7 @@
   const auto now_ms = clock_.now(now);
   std::vector<Write> writes;
   for (const auto& [shard, claim] : claims_) {
-    if (!now_ms || now < claim.written_at + kClaimRenewal) continue;
+    if (!now_ms || now < claim.written_at + kClaimRenewalInterval) continue;
     writes.push_back({shard, plan_claim(&claim.row, holder_, *now_ms), claim.version});
   }
   if (writes.empty()) co_return;
@@ -231,7 +231,7 @@
   // NOTE: the shards are given up before anything is written, so that nothing more is spent.
   stopping_ = true;
   const auto claims = std::exchange(claims_, {});
-  for (const auto& [program, tokens] : accounts) remember_spent(program, tokens);
+  for (const auto& [program, tokens] : accounts) record_spent(program, tokens);
   const auto now_ms = clock_.now(net::Clock::now());
   if (!enabled() || claims.empty() || !now_ms) co_return;
   const auto writes = plan_handovers(claims, *now_ms);
--- a/src/ledger/escrow_claims.hpp
+++ b/src/ledger/escrow_claims.hpp
@@ -22,7 +22,7 @@
   /// Shards without a live owner that this node should claim.
   std::function<std::vector<int>()> unowned;
   /// Whether a process lives, as far as this node has heard.
-  std::function<bool(std::int64_t incarnation)> lives;
+  std::function<bool(std::int64_t incarnation)> is_alive;
 };
 
 /// Not thread-safe: belongs to the event loop.
@@ -50,9 +50,9 @@
   BudgetDivision division(const std::string& program, std::int64_t budget,
                           std::int64_t turn_tokens) const;
   /// Tokens of the program's escrow that were spent before its account in memory began.
-  std::int64_t spent_before(const std::string& program) const;
+  std::int64_t previously_spent(const std::string& program) const;
   /// The program's account is dropped from memory. @param spent of its escrow since it began.
-  void remember_spent(const std::string& program, std::int64_t spent);
+  void record_spent(const std::string& program, std::int64_t spent);
 
   /// Owned shards, for the other nodes.
   std::vector<std::int16_t> spendable_shards() const { return shards(true); }
--- a/src/ledger/escrow_shard.cpp
+++ b/src/ledger/escrow_shard.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-std::int64_t escrow_digest_of(const std::string& program) {
+std::int64_t escrow_digest(const std::string& program) {
   return static_cast<std::int64_t>(XXH64(program.data(), program.size(), kDigestSeed));
 }
 
@@ -39,16 +39,14 @@
   return static_cast<int>(static_cast<std::uint64_t>(digest) % kEscrowShards);
 }
 
-int escrow_shard_of(const std::string& program) {
-  return escrow_shard_of(escrow_digest_of(program));
-}
+int escrow_shard_of(const std::string& program) { return escrow_shard_of(escrow_digest(program)); }
 
-BudgetDivision division_of_owner(std::int64_t budget, std::int64_t turn_tokens) {
+BudgetDivision owner_division(std::int64_t budget, std::int64_t turn_tokens) {
   const auto escrow = escrow_of(budget, turn_tokens);
   return {escrow, budget - escrow};
 }
 
-BudgetDivision division_of_others(std::int64_t budget, std::int64_t turn_tokens) {
+BudgetDivision non_owner_division(std::int64_t budget, std::int64_t turn_tokens) {
   const auto unseen = escrow_of(budget, turn_tokens);
   return {0, std::min(budget, budget + turn_tokens - unseen)};
 }
@@ -60,9 +58,9 @@
   if (row == nullptr) claimed.spendable = true;
   if (lost_owner && row->spendable) {
     // The lost owner may be alive, and spends until its claim runs out.
-    const auto last_spent = std::max(now_ms, row->claimed_at + kClaimLife.count());
+    const auto last_spent = std::max(now_ms, row->claimed_at + kClaimLifetime.count());
     claimed.spendable = false;
-    claimed.spendable_from = last_spent + kLongestProgram.count();
+    claimed.spendable_from = last_spent + kMaxProgramLifetime.count();
   }
   if (!claimed.spendable && now_ms >= claimed.spendable_from) {
     claimed.spendable = true;
@@ -82,7 +80,7 @@
   for (const auto& [program, tokens] : spent) handed_over.spent[program] = tokens;
   handed_over.owner = 0;
   handed_over.claimed_at = now_ms;
-  handed_over.spent_until = now_ms + kLongestProgram.count();
+  handed_over.spent_until = now_ms + kMaxProgramLifetime.count();
   return handed_over;
 }
 
--- a/src/ledger/escrow_shard.hpp
+++ b/src/ledger/escrow_shard.hpp
@@ -7,7 +7,7 @@
 ///  1. The escrow and what the budget rows may grant add up to the budget and one turn at most,
 ///     which is what a budget may be exceeded by. Nobody has to be asked to stay within it.
 ///  2. An owner claims a shard by a conditional write before it spends, and spends no longer than
-///     kClaimLife after the last time it wrote.
+///     kClaimLifetime after the last time it wrote.
 ///  3. An owner that stops writes what it spent, and the next one goes on from there.
 ///  4. An owner that is lost may have spent any escrow. Until every program that it can have served
 ///     has ended, the next owner has none, and its programs draw on their budget rows alone. These
@@ -29,14 +29,14 @@
 /// all rows (a read returns 500 at most).
 inline constexpr int kEscrowShards = 128;
 /// An owner that could not write for so long stops spending.
-inline constexpr std::chrono::milliseconds kClaimLife = std::chrono::minutes(30);
-/// An owner writes this often that it goes on: some tries may fail within kClaimLife.
-inline constexpr std::chrono::milliseconds kClaimRenewal = std::chrono::minutes(10);
+inline constexpr std::chrono::milliseconds kClaimLifetime = std::chrono::minutes(30);
+/// An owner writes this often that it goes on: some tries may fail within kClaimLifetime.
+inline constexpr std::chrono::milliseconds kClaimRenewalInterval = std::chrono::minutes(10);
 /// No program lives this long: callers come back for a minute after a program's last turn.
-inline constexpr std::chrono::milliseconds kLongestProgram = std::chrono::minutes(10);
+inline constexpr std::chrono::milliseconds kMaxProgramLifetime = std::chrono::minutes(10);
 
 /// Short name of a program in escrow rows.
-std::int64_t escrow_digest_of(const std::string& program);
+std::int64_t escrow_digest(const std::string& program);
 /// Shard of a program; the same on all nodes.
 int escrow_shard_of(std::int64_t digest);
 int escrow_shard_of(const std::string& program);
@@ -48,9 +48,9 @@
 };
 
 /// Division as the owner of a spendable escrow sees it: never more than the budget in all.
-BudgetDivision division_of_owner(std::int64_t budget, std::int64_t turn_tokens);
+BudgetDivision owner_division(std::int64_t budget, std::int64_t turn_tokens);
 /// Division as anybody else sees it.
-BudgetDivision division_of_others(std::int64_t budget, std::int64_t turn_tokens);
+BudgetDivision non_owner_division(std::int64_t budget, std::int64_t turn_tokens);
 
 /// Row by which `claimant` becomes the owner of a shard.
 /// @param row as it was read; nullptr: the shard never had an owner.
--- a/src/ledger/turn_ledger.cpp
+++ b/src/ledger/turn_ledger.cpp
@@ -90,18 +90,19 @@
   co_return chain;
 }
 
-net::asio::awaitable<Lookup> TurnLedger::find(std::string id, net::TimePoint deadline) {
-  if (auto cached = cache_.find(id)) co_return Lookup{LookupOutcome::kFound, std::move(cached)};
+net::asio::awaitable<LookupResult> TurnLedger::find(std::string id, net::TimePoint deadline) {
+  if (auto cached = cache_.find(id))
+    co_return LookupResult{LookupOutcome::kFound, std::move(cached)};
   auto chain = co_await read_chain(std::move(id), deadline);
-  if (chain.outcome != LookupOutcome::kFound) co_return Lookup{chain.outcome, nullptr};
+  if (chain.outcome != LookupOutcome::kFound) co_return LookupResult{chain.outcome, nullptr};
   auto known = std::move(chain.known);
   for (auto row = chain.rows.rbegin(); row != chain.rows.rend(); ++row) {
-    known = remember_chain(*row, std::move(known));
+    known = cache_chain(*row, std::move(known));
   }
-  co_return Lookup{LookupOutcome::kFound, std::move(known)};
+  co_return LookupResult{LookupOutcome::kFound, std::move(known)};
 }
 
-TurnPointer TurnLedger::remember_chain(const wire::TurnRow& row, TurnPointer earlier) {
+TurnPointer TurnLedger::cache_chain(const wire::TurnRow& row, TurnPointer earlier) {
   if (row.segments.empty()) throw std::invalid_argument("a turn's row has no segments");
   TurnPointer last = std::move(earlier);
   for (const auto& segment : row.segments) {
--- a/src/ledger/turn_ledger.hpp
+++ b/src/ledger/turn_ledger.hpp
@@ -16,7 +16,7 @@
 
 enum class LookupOutcome { kFound, kAbsent, kUnavailable };
 
-struct Lookup {
+struct LookupResult {
   LookupOutcome outcome = LookupOutcome::kUnavailable;
   TurnPointer turn;
 };
@@ -30,12 +30,12 @@
              observe::StructuredLog& log, std::uint64_t seed);
 
   /// A finished turn with its whole chain.
-  net::asio::awaitable<Lookup> find(std::string id, net::TimePoint deadline);
+  net::asio::awaitable<LookupResult> find(std::string id, net::TimePoint deadline);
   /// A turn that needs no read; nullptr when there is none.
   TurnPointer cached(const std::string& id) const { return cache_.find(id); }
   /// Takes turns that another node knows to be durable. Cached ones are shared, not copied.
   /// @return the last one. @throws std::invalid_argument when there are no segments.
-  TurnPointer remember_chain(const wire::TurnRow& row, TurnPointer earlier);
+  TurnPointer cache_chain(const wire::TurnRow& row, TurnPointer earlier);
 
   /// Whether a call for a row may begin while earlier ones for it are still waited for.
   void set_overlapping(bool overlapping) { rows_.set_overlapping(overlapping); }
--- a/src/ledger/turn_row.cpp
+++ b/src/ledger/turn_row.cpp
@@ -36,7 +36,7 @@
   return row;
 }
 
-wire::TurnRow encode_whole_chain(const Turn& turn) {
+wire::TurnRow encode_chain(const Turn& turn) {
   wire::TurnRow row;
   for (const Turn* next = &turn; next != nullptr; next = next->previous.get()) {
     row.segments.push_back(segment_of(*next, next->row_expires_at));
--- a/src/ledger/turn_row.hpp
+++ b/src/ledger/turn_row.hpp
@@ -17,6 +17,6 @@
 wire::TurnRow encode_turn(const Turn& turn, std::int64_t expires_at);
 
 /// Row of a turn with its whole chain, for messages between nodes.
-wire::TurnRow encode_whole_chain(const Turn& turn);
+wire::TurnRow encode_chain(const Turn& turn);
 
 }  // namespace sailgate::ledger
--- a/src/serving/gateway.cpp
+++ b/src/serving/gateway.cpp
@@ -149,7 +149,7 @@
     feeds_.maintain(now);
     state_.store.set_silence_limit(state_.beacons.silence_limit());
     state_.quotas.refresh(now, state_.beacons.silence_limit());
-    state_.ledger.budgets.forget_idle(now);
+    state_.ledger.budgets.evict_idle(now);
     engine_picture_.maintain(now);
     reach_watch_.maintain(now);
     if (state_.settings.mechanisms.fairness) take_peer_begun(now);
@@ -196,14 +196,14 @@
     for (const auto shard : state_.ledger.escrow.bare_shards()) own.insert(shard);
     return state_.peers.shards_to_claim(own, ledger::kEscrowShards, net::Clock::now(), silence());
   };
-  peers.lives = [this, silence](std::int64_t incarnation) {
+  peers.is_alive = [this, silence](std::int64_t incarnation) {
     return state_.peers.heard(incarnation, net::Clock::now(), silence());
   };
   return peers;
 }
 
 net::asio::awaitable<void> Gateway::release_tokens() {
-  co_await state_.ledger.escrow.hand_over(state_.ledger.budgets.spent_of_escrow(),
+  co_await state_.ledger.escrow.hand_over(state_.ledger.budgets.escrow_spent(),
                                           net::Clock::now() + kReleaseTime);
   co_await net::sleep_for(context_, kHomesNotice);
   co_await state_.ledger.budgets.release_all(net::Clock::now() + kReleaseTime);
--- a/tests/cluster/cluster_test.cpp
+++ b/tests/cluster/cluster_test.cpp
@@ -77,7 +77,7 @@
   const auto program = program_at_second();
   const auto turn =
       std::make_shared<const ledger::Turn>(ledger::Turn{"t1", "in", "out\n", nullptr});
-  second.state().ledger.turns.remember_chain(ledger::encode_whole_chain(*turn), nullptr);
+  second.state().ledger.turns.cache_chain(ledger::encode_chain(*turn), nullptr);
   const int reads = table.reads();
   const auto start = begin(first, program, 0, "t1");
   REQUIRE(start.lookup == LookupOutcome::kFound);
@@ -290,7 +290,7 @@
   REQUIRE(begin(*first, program, 300).reservation == ReserveOutcome::kReserved);
   REQUIRE(begin(*first, program, 300).reservation == ReserveOutcome::kReserved);
   REQUIRE(begin(*first, program, 300).reservation == ReserveOutcome::kUnavailable);
-  REQUIRE_FALSE(first->state().ledger.budgets.exhausted_lately(program, 300));
+  REQUIRE_FALSE(first->state().ledger.budgets.recently_exhausted(program, 300));
 }
 
 namespace {
--- a/tests/ledger/budget_account_test.cpp
+++ b/tests/ledger/budget_account_test.cpp
@@ -55,9 +55,9 @@
   if (fate == Fate::kAnswerLost) return false;
   const auto& share = store.shares[index];
   if (share.version == 0) {
-    account.adopt_absent(index);
+    account.apply_missing_row(index);
   } else {
-    account.adopt(index, share.row, share.version);
+    account.apply_stored_row(index, share.row, share.version);
   }
   return done;
 }
@@ -70,7 +70,7 @@
   const auto row = account.plan_grant(0, 100, kBudget);
   REQUIRE(row);
   REQUIRE_FALSE(account.reserve(100));
-  account.adopt(0, *row, 1);
+  account.apply_stored_row(0, *row, 1);
   REQUIRE(account.reserve(100));
 }
 
@@ -85,14 +85,14 @@
   BudgetAccount account(1);
   wire::BudgetRow row;
   row.granted[2] = kBudget - 100;
-  account.adopt(0, row, 5);
+  account.apply_stored_row(0, row, 5);
   REQUIRE(account.plan_grant(0, 100, kBudget));
   REQUIRE_FALSE(account.plan_grant(0, 101, kBudget));
 }
 
 TEST_CASE("what a turn did not use can be reserved again", "[ledger]") {
   BudgetAccount account(1);
-  account.adopt(0, *account.plan_grant(0, kBudget, kBudget), 1);
+  account.apply_stored_row(0, *account.plan_grant(0, kBudget, kBudget), 1);
   REQUIRE(account.reserve(kBudget));
   REQUIRE_FALSE(account.reserve(1));
   account.settle(kBudget, 300);
@@ -101,12 +101,12 @@
 
 TEST_CASE("tokens that are given back are out of use before the write", "[ledger]") {
   BudgetAccount account(1);
-  account.adopt(0, *account.plan_grant(0, 400, kBudget), 1);
+  account.apply_stored_row(0, *account.plan_grant(0, 400, kBudget), 1);
   REQUIRE(account.reserve(100));
   const auto row = account.begin_release(0);
   REQUIRE(row->granted.at(1) == 100);
   REQUIRE_FALSE(account.reserve(1));
-  account.adopt(0, *row, 2);
+  account.apply_stored_row(0, *row, 2);
   account.settle(100, 100);
   REQUIRE_FALSE(account.begin_release(0));
 }
@@ -115,14 +115,14 @@
   BudgetAccount account(1);
   wire::BudgetRow row;
   row.granted[1] = 500;
-  account.adopt(0, row, 9);
+  account.apply_stored_row(0, row, 9);
   REQUIRE(account.available() <= 0);
   REQUIRE_FALSE(account.plan_grant(0, 401, kBudget));
 }
 
 TEST_CASE("a retired account's tokens count as spent, and the rest is free", "[ledger]") {
   BudgetAccount account(1);
-  account.adopt(0, *account.plan_grant(0, 400, kBudget), 1);
+  account.apply_stored_row(0, *account.plan_grant(0, 400, kBudget), 1);
   REQUIRE(account.reserve(100));
   REQUIRE_FALSE(account.begin_retirement(0));
   account.settle(100, 60);
@@ -130,7 +130,7 @@
   REQUIRE(row);
   REQUIRE_FALSE(account.reserve(1));
   BudgetAccount again(1);
-  again.adopt(0, *row, 2);
+  again.apply_stored_row(0, *row, 2);
   REQUIRE(again.other_holders().empty());
   REQUIRE(again.plan_grant(0, kBudget - 60, kBudget));
   REQUIRE_FALSE(again.plan_grant(0, kBudget - 59, kBudget));
@@ -138,7 +138,7 @@
 
 TEST_CASE("a settlement that is told twice does not free tokens", "[ledger]") {
   BudgetAccount account(1);
-  account.adopt(0, *account.plan_grant(0, kBudget, kBudget), 1);
+  account.apply_stored_row(0, *account.plan_grant(0, kBudget, kBudget), 1);
   REQUIRE(account.reserve(100));
   account.settle(100, 50);
   account.settle(100, 50);
@@ -149,10 +149,10 @@
   BudgetAccount account(1, 2);
   const auto first = account.plan_grant(0, 600, kBudget);
   REQUIRE(first->granted.at(1) == 450);
-  account.adopt(0, *first, 1);
+  account.apply_stored_row(0, *first, 1);
   REQUIRE_FALSE(account.reserve(600));
   const auto second = account.plan_grant(1, 600, kBudget);
-  account.adopt(1, *second, 2);
+  account.apply_stored_row(1, *second, 2);
   REQUIRE(account.reserve(600));
   REQUIRE(account.can_hold(300, kBudget));
   REQUIRE_FALSE(account.can_hold(301, kBudget));
@@ -162,15 +162,15 @@
 TEST_CASE("shares of an odd budget add up to it", "[ledger]") {
   constexpr std::int64_t kOdd = 901;
   BudgetAccount account(1, 2);
-  account.adopt(0, *account.plan_grant(0, kOdd, kOdd), 1);
-  account.adopt(1, *account.plan_grant(1, kOdd, kOdd), 2);
+  account.apply_stored_row(0, *account.plan_grant(0, kOdd, kOdd), 1);
+  account.apply_stored_row(1, *account.plan_grant(1, kOdd, kOdd), 2);
   REQUIRE(account.available() == kOdd);
 }
 
 TEST_CASE("what several shares hold idle is given back from each", "[ledger]") {
   BudgetAccount account(1, 2);
-  account.adopt(0, *account.plan_grant(0, kBudget, kBudget), 1);
-  account.adopt(1, *account.plan_grant(1, kBudget, kBudget), 2);
+  account.apply_stored_row(0, *account.plan_grant(0, kBudget, kBudget), 1);
+  account.apply_stored_row(1, *account.plan_grant(1, kBudget, kBudget), 2);
   REQUIRE(account.reserve(500));
   REQUIRE_FALSE(account.begin_release(0));
   const auto row = account.begin_release(1);
@@ -180,17 +180,17 @@
 
 TEST_CASE("a retired account counts each token once over its shares", "[ledger]") {
   BudgetAccount account(1, 2);
-  account.adopt(0, *account.plan_grant(0, kBudget, kBudget), 1);
-  account.adopt(1, *account.plan_grant(1, kBudget, kBudget), 2);
+  account.apply_stored_row(0, *account.plan_grant(0, kBudget, kBudget), 1);
+  account.apply_stored_row(1, *account.plan_grant(1, kBudget, kBudget), 2);
   REQUIRE(account.reserve(600));
   account.settle(600, 500);
   const auto first = account.begin_retirement(0);
-  account.adopt(0, *first, 3);
+  account.apply_stored_row(0, *first, 3);
   const auto second = account.begin_retirement(1);
-  account.adopt(1, *second, 4);
+  account.apply_stored_row(1, *second, 4);
   BudgetAccount again(1, 2);
-  again.adopt(0, *first, 3);
-  again.adopt(1, *second, 4);
+  again.apply_stored_row(0, *first, 3);
+  again.apply_stored_row(1, *second, 4);
   REQUIRE(again.can_hold(kBudget - 500, kBudget));
   REQUIRE_FALSE(again.can_hold(kBudget - 499, kBudget));
 }
--- a/tests/ledger/escrow_claims_test.cpp
+++ b/tests/ledger/escrow_claims_test.cpp
@@ -29,7 +29,7 @@
     clock.observe(1000, net::Clock::now());
     ledger::EscrowPeers peers;
     peers.unowned = [this] { return unowned; };
-    peers.lives = [&living](std::int64_t id) { return living.count(id) > 0; };
+    peers.is_alive = [&living](std::int64_t id) { return living.count(id) > 0; };
     ledger.escrow.enable(std::move(peers));
   }
 
@@ -64,7 +64,7 @@
     return test::run(context, process.ledger.budgets.reserve(program, tokens, kBudget, deadline));
   }
   void stop(Process& process) {
-    finish(process.ledger.escrow.hand_over(process.ledger.budgets.spent_of_escrow(),
+    finish(process.ledger.escrow.hand_over(process.ledger.budgets.escrow_spent(),
                                            net::Clock::now() + net::Millis(100)));
   }
 };
--- a/tests/ledger/escrow_shard_test.cpp
+++ b/tests/ledger/escrow_shard_test.cpp
@@ -7,15 +7,15 @@
 #include <vector>
 
 using namespace sailgate;
-using ledger::division_of_others;
-using ledger::division_of_owner;
+using ledger::non_owner_division;
+using ledger::owner_division;
 using ledger::plan_claim;
 using ledger::plan_handover;
 
 namespace {
 
-constexpr std::int64_t kLife = ledger::kClaimLife.count();
-constexpr std::int64_t kLongest = ledger::kLongestProgram.count();
+constexpr std::int64_t kLife = ledger::kClaimLifetime.count();
+constexpr std::int64_t kLongest = ledger::kMaxProgramLifetime.count();
 constexpr std::int64_t kEscrow = 100;
 constexpr std::int64_t kProgram = 77;
 
@@ -142,11 +142,11 @@
     const auto budget = *rc::gen::inRange<std::int64_t>(0, 100'000);
     const auto turn = *rc::gen::inRange<std::int64_t>(1, 100'000);
     const auto other_turn = *rc::gen::inRange<std::int64_t>(1, 100'000);
-    const auto owner = division_of_owner(budget, turn);
+    const auto owner = owner_division(budget, turn);
     RC_ASSERT(owner.escrow + owner.from_rows == budget);
     RC_ASSERT(owner.escrow >= 0 && owner.from_rows >= 0);
     // Whichever turn each side was asked for, the largest turn bounds the sum.
-    const auto others = division_of_others(budget, other_turn);
+    const auto others = non_owner_division(budget, other_turn);
     RC_ASSERT(owner.escrow + others.from_rows <= budget + std::max(turn, other_turn));
     RC_ASSERT(others.escrow == 0);
   }));
@@ -155,21 +155,21 @@
 TEST_CASE(
     "an owner's smaller turns and a follower's larger ones exceed a budget by one turn at most",
     "[escrow]") {
-  const auto owner = division_of_owner(1000, 400);
-  REQUIRE(owner.escrow + division_of_others(1000, 500).from_rows <= 1500);
+  const auto owner = owner_division(1000, 400);
+  REQUIRE(owner.escrow + non_owner_division(1000, 500).from_rows <= 1500);
 }
 
 TEST_CASE("the loss of an owner leaves a budget whole or two turns of it", "[escrow]") {
   REQUIRE(rc::check([] {
     const auto budget = *rc::gen::inRange<std::int64_t>(0, 100'000);
     const auto turn = *rc::gen::inRange<std::int64_t>(1, 100'000);
-    RC_ASSERT(division_of_others(budget, turn).from_rows >= std::min(budget, 2 * turn));
+    RC_ASSERT(non_owner_division(budget, turn).from_rows >= std::min(budget, 2 * turn));
   }));
 }
 
 TEST_CASE("a program of one turn can run that turn from the escrow and from the rows", "[escrow]") {
-  REQUIRE(division_of_owner(900, 576).escrow >= 576);
-  REQUIRE(division_of_others(900, 576).from_rows >= 576);
+  REQUIRE(owner_division(900, 576).escrow >= 576);
+  REQUIRE(non_owner_division(900, 576).from_rows >= 576);
 }
 
 TEST_CASE("the first owner of a shard may spend", "[escrow]") {
--- a/tests/ledger/expiry_sweeper_test.cpp
+++ b/tests/ledger/expiry_sweeper_test.cpp
@@ -146,7 +146,7 @@
   REQUIRE(run(context, writer.budgets.reserve("program", 100, 1000, deadline)) ==
           ledger::ReserveOutcome::kReserved);
   set_time(kStart + kBudgetLife / 2);
-  writer.budgets.forget_idle(net::Clock::now() + std::chrono::hours(1));
+  writer.budgets.evict_idle(net::Clock::now() + std::chrono::hours(1));
   test::run_until(context, [&] { return context.poll() == 0; });
   set_time(kStart + kBudgetLife + kGone);
   REQUIRE(sweep() == 0);
--- a/tests/ledger/program_ledger_test.cpp
+++ b/tests/ledger/program_ledger_test.cpp
@@ -38,8 +38,8 @@
     return run(context,
                ledger.budgets.reserve("program", tokens, kBudget, net::Clock::now() + time));
   }
-  ledger::Lookup find(ProgramLedger& ledger, const std::string& id,
-                      net::Millis time = net::Millis(200)) {
+  ledger::LookupResult find(ProgramLedger& ledger, const std::string& id,
+                            net::Millis time = net::Millis(200)) {
     return run(context, ledger.turns.find(id, net::Clock::now() + time));
   }
   bool record(ProgramLedger& ledger, ledger::TurnPointer turn,
@@ -72,8 +72,8 @@
   REQUIRE(reserve(first, 900) == ReserveOutcome::kReserved);
   REQUIRE(reserve(second, 200) == ReserveOutcome::kExhausted);
   first.budgets.settle("program", 900, 100);
-  REQUIRE(
-      run(context, first.budgets.release("program", net::Clock::now() + net::Millis(200))).given);
+  REQUIRE(run(context, first.budgets.release("program", net::Clock::now() + net::Millis(200)))
+              .released);
   REQUIRE(reserve(second, 200) == ReserveOutcome::kReserved);
 }
 
@@ -126,8 +126,8 @@
   REQUIRE(reserve(first, 400, net::Millis(300)) == ReserveOutcome::kUnavailable);
   table.set_mode(MemoryTable::Mode::kUp);
   REQUIRE(reserve(second, 900) == ReserveOutcome::kExhausted);
-  REQUIRE(
-      run(context, first.budgets.release("program", net::Clock::now() + net::Millis(200))).given);
+  REQUIRE(run(context, first.budgets.release("program", net::Clock::now() + net::Millis(200)))
+              .released);
   REQUIRE(reserve(second, 900) == ReserveOutcome::kReserved);
 }
 
@@ -135,7 +135,7 @@
   REQUIRE(reserve(first, 1000) == ReserveOutcome::kReserved);
   const auto result =
       run(context, first.budgets.release("program", net::Clock::now() + net::Millis(200)));
-  REQUIRE_FALSE(result.given);
+  REQUIRE_FALSE(result.released);
   REQUIRE(result.complete);
 }
 
@@ -205,8 +205,8 @@
   const auto put = [this](const ledger::Turn& written, const wire::TurnRow& row) {
     table.put("turns", store::part_of(written.id), written.id, wire::encode(row));
   };
-  put(*two, ledger::encode_whole_chain(*two));
-  auto row = ledger::encode_whole_chain(*three);
+  put(*two, ledger::encode_chain(*two));
+  auto row = ledger::encode_chain(*three);
   row.segments.erase(row.segments.begin(), row.segments.end() - 1);
   row.earlier = "2";
   put(*three, row);
@@ -216,7 +216,7 @@
   const auto four = turn("4", find(first, "3").turn);
   REQUIRE(record(first, four));
   ProgramLedger third{context, table, clock, log, 3};
-  put(*one, ledger::encode_whole_chain(*one));
+  put(*one, ledger::encode_chain(*one));
   REQUIRE(ledger::assemble_prompt(find(third, "4").turn, "x") ==
           ledger::assemble_prompt(four, "x"));
 }
@@ -237,11 +237,11 @@
 TEST_CASE_METHOD(Fixture, "an idle program is forgotten and its tokens are given back",
                  "[ledger]") {
   REQUIRE(reserve(first, 600) == ReserveOutcome::kReserved);
-  first.budgets.forget_idle(net::Clock::now() + std::chrono::hours(1));
+  first.budgets.evict_idle(net::Clock::now() + std::chrono::hours(1));
   test::run_until(context, [&] { return context.poll() == 0; });
   REQUIRE(first.budgets.programs() == 1);  // a turn is under way
   first.budgets.settle("program", 600, 100);
-  first.budgets.forget_idle(net::Clock::now() + std::chrono::hours(2));
+  first.budgets.evict_idle(net::Clock::now() + std::chrono::hours(2));
   test::run_until(context, [&] { return first.budgets.programs() == 0; });
   REQUIRE(reserve(second, 900) == ReserveOutcome::kReserved);
   REQUIRE(reserve(second, 1) == ReserveOutcome::kExhausted);
@@ -253,7 +253,7 @@
   REQUIRE(reserve(first, 600) == ReserveOutcome::kReserved);
   first.budgets.settle("program", 600, 100);
   table.set_mode(MemoryTable::Mode::kRefuses);
-  first.budgets.forget_idle(net::Clock::now() + std::chrono::hours(1));
+  first.budgets.evict_idle(net::Clock::now() + std::chrono::hours(1));
   const auto wait = [this]() -> net::asio::awaitable<bool> {
     co_await net::sleep_for(context, net::Millis(700));
     co_return true;
@@ -273,7 +273,7 @@
   // The first one writes its grant; the others wait for it.
   test::run_until(context, [&] { return table.most_writes_at_once() == 1; });
   context.poll();
-  first.budgets.note_exhausted("program", 600);
+  first.budgets.mark_exhausted("program", 600);
   test::run_until(context, [&] { return ends.size() == 4; });
   REQUIRE(std::count(ends.begin(), ends.end(), ReserveOutcome::kReserved) == 1);
   REQUIRE(std::count(ends.begin(), ends.end(), ReserveOutcome::kExhausted) == 3);
--- a/tests/ledger/turn_test.cpp
+++ b/tests/ledger/turn_test.cpp
@@ -48,7 +48,7 @@
 TEST_CASE("a message between nodes holds the whole chain", "[ledger]") {
   TurnPointer last;
   for (int i = 0; i < 6; ++i) last = turn(std::to_string(i), last, 6000);
-  const auto row = ledger::encode_whole_chain(*last);
+  const auto row = ledger::encode_chain(*last);
   REQUIRE(row.segments.size() == 6);
   REQUIRE(row.segments.front().turn == "0");
   REQUIRE(row.earlier.empty());
