--- a/src/ledger/budget_account.cpp
+++ b/src/ledger/budget_account.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-/// A grant takes up to this share of what is left: tokens of a holder that dies are lost.
+/// Beyond the requested tokens, a grant takes at most 1/4 of the remaining budget, because the
+/// tokens of a holder that dies are lost.
 constexpr std::int64_t kGrantDivisor = 4;
-/// Holder of tokens that were spent by processes that have forgotten the program.
-constexpr std::int64_t kNobody = 0;
-/// A grant covers at most this many turns like the one that asked.
+/// Holder ID for tokens spent by processes that have dropped the program from memory.
+constexpr std::int64_t kRetiredHolder = 0;
+/// A grant covers at most this many turns of the requested size.
 constexpr std::int64_t kGrantTurns = 4;
 
 }  // namespace
@@ -42,7 +43,7 @@
   return sum;
 }
 
-std::int64_t BudgetAccount::granted_to_others(const Share& share) const {
+std::int64_t BudgetAccount::granted_to_other_holders(const Share& share) const {
   std::int64_t sum = 0;
   for (const auto& [holder, tokens] : share.row.granted) {
     if (holder != holder_) sum += tokens;
@@ -50,31 +51,31 @@
   return sum;
 }
 
-std::int64_t BudgetAccount::room(std::size_t share, std::int64_t budget) const {
+std::int64_t BudgetAccount::unallocated(std::size_t share, std::int64_t budget) const {
   const auto count = static_cast<std::int64_t>(shares_.size());
   const auto index = static_cast<std::int64_t>(share);
-  const std::int64_t whole = budget * (index + 1) / count - budget * index / count;
+  const std::int64_t share_size = budget * (index + 1) / count - budget * index / count;
   const auto& entry = shares_[share];
-  return std::max<std::int64_t>(whole - granted_to_others(entry) - entry.granted, 0);
+  return std::max<std::int64_t>(share_size - granted_to_other_holders(entry) - entry.granted, 0);
 }
 
-std::int64_t BudgetAccount::left(std::int64_t budget) const {
+std::int64_t BudgetAccount::remaining(std::int64_t budget) const {
   std::int64_t sum = available();
-  for (std::size_t share = 0; share < shares_.size(); ++share) sum += room(share, budget);
+  for (std::size_t share = 0; share < shares_.size(); ++share) sum += unallocated(share, budget);
   return sum;
 }
 
 bool BudgetAccount::can_hold(std::int64_t tokens, std::int64_t budget) const {
-  return left(budget) >= tokens;
+  return remaining(budget) >= tokens;
 }
 
 std::optional<wire::BudgetRow> BudgetAccount::plan_grant(std::size_t share, std::int64_t tokens,
                                                          std::int64_t budget) {
   auto& entry = shares_[share];
   if (!can_hold(tokens, budget)) return std::nullopt;
-  const std::int64_t ample = std::min(left(budget) / kGrantDivisor, tokens * kGrantTurns);
-  const std::int64_t wanted = std::max(tokens, ample) - available();
-  const std::int64_t added = std::min(wanted, room(share, budget));
+  const std::int64_t target = std::min(remaining(budget) / kGrantDivisor, tokens * kGrantTurns);
+  const std::int64_t wanted = std::max(tokens, target) - available();
+  const std::int64_t added = std::min(wanted, unallocated(share, budget));
   if (added <= 0) return std::nullopt;
   entry.attempted = true;
   auto row = entry.row;
@@ -102,14 +103,14 @@
 std::optional<wire::BudgetRow> BudgetAccount::begin_retirement(std::size_t share) {
   auto& entry = shares_[share];
   if (!idle() || entry.row.granted.count(holder_) == 0) return std::nullopt;
-  // NOTE: what is not used goes out of use in all shares at once, so that no turn begins between
-  // the writes of two of them.
+  // NOTE: unused tokens are withdrawn from all shares at once, so that no turn can start between
+  // the writes of two shares.
   for (std::size_t other = 0; other < shares_.size(); ++other) {
     shares_[other].granted = portion(other, used_);
   }
   auto row = entry.row;
   row.granted.erase(holder_);
-  row.granted[kNobody] += entry.granted;
+  row.granted[kRetiredHolder] += entry.granted;
   return row;
 }
 
@@ -123,7 +124,7 @@
   std::set<std::int64_t> holders;
   for (const auto& share : shares_) {
     for (const auto& [holder, tokens] : share.row.granted) {
-      if (holder != holder_ && holder != kNobody && tokens > 0) holders.insert(holder);
+      if (holder != holder_ && holder != kRetiredHolder && tokens > 0) holders.insert(holder);
     }
   }
   return {holders.begin(), holders.end()};
--- a/src/ledger/budget_ledger.cpp
+++ b/src/ledger/budget_ledger.cpp
@@ -15,28 +15,31 @@
 using store::StoreStatus;
 
 constexpr const char* kBudgetTable = "budgets";
-/// A program that was not used for so long is forgotten, a few at a time.
-constexpr net::Millis kIdleTime{120'000};
-constexpr net::Millis kForgetInterval{1000};
-constexpr net::Millis kForgetTime{500};
-constexpr std::size_t kForgottenAtOnce = 16;
-/// A budget that nobody wrote for so long belongs to a program that has ended: none lives for more
-/// than ten minutes (kMaxProgramLifetime), and holders write theirs at least twice in this time. A
-/// program's rows and their entries take some 200 bytes: by reckoning 32 MB in this time at 90
-/// programs a second, 130 MB in two hours.
-constexpr net::Millis kBudgetLife{std::chrono::minutes(30)};
-/// Budgets that are held are written again at least this often.
-constexpr net::Millis kBudgetTouch{std::chrono::minutes(10)};
-/// A budget that was found exhausted, holders asked, is not looked at again for this long.
-constexpr net::Millis kExhaustedMemory{800};
-/// A turn is begun with this part of its most tokens at least: turns use 45 parts in 100 of their
-/// most (257 of 576 tokens in the mean on faama-sailgate), and one that needs more is cut.
-constexpr std::int64_t kUsefulDivisor = 2;
-/// A planned stop gives back the tokens of so many programs side by side.
-constexpr int kReleasesAtOnce = 8;
-constexpr net::Millis kReleasePoll{10};
-/// A part of the store that is silent for so long is taken to be out of service.
-constexpr net::Millis kSilenceOfPart{100};
+/// Programs that have been idle for this long are evicted, a few at a time.
+constexpr net::Millis kIdleTimeout{120'000};
+constexpr net::Millis kEvictionInterval{1000};
+constexpr net::Millis kEvictionTimeout{500};
+constexpr std::size_t kMaxEvictionsPerRound = 16;
+/// Budget rows that have not been written for this long belong to programs that have ended: no
+/// program lasts longer than ten minutes (kMaxProgramLifetime), and holders write their rows at
+/// least twice in this time. The rows and index entries of a program take about 200 bytes: by
+/// calculation 32 MB in this time at 90 programs per second, and 130 MB if they were kept for two
+/// hours.
+constexpr net::Millis kBudgetRowTtl{std::chrono::minutes(30)};
+/// Budget rows of programs in memory are rewritten at least this often.
+constexpr net::Millis kBudgetRefreshInterval{std::chrono::minutes(10)};
+/// After a budget was found to be exhausted and the other holders were asked, it is not checked
+/// again for this long.
+constexpr net::Millis kExhaustedCacheTtl{800};
+/// A turn is started with at least half of its maximum token count. Turns use 45% of their maximum
+/// on average (257 of 576 tokens on faama-sailgate); a turn that needs more than was reserved is
+/// cut off.
+constexpr std::int64_t kMinUsefulDivisor = 2;
+/// Number of programs whose tokens are returned concurrently at a planned shutdown.
+constexpr int kMaxConcurrentReleases = 8;
+constexpr net::Millis kReleasePollInterval{10};
+/// A partition of the store that has not responded for this long is assumed to be unavailable.
+constexpr net::Millis kPartSilenceTimeout{100};
 
 bool time_left(net::TimePoint deadline) { return net::Clock::now() < deadline; }
 
@@ -68,13 +71,14 @@
   if (entry->account.reserve(tokens)) co_return ReserveOutcome::kReserved;
   if (recently_exhausted(id, tokens)) co_return ReserveOutcome::kExhausted;
   const auto guard = co_await entry->mutex.lock();
-  // Programs without end ask many times at once: one of them finds out for all.
+  // Programs in an endless loop send many requests at once: the first one checks the budget for all
+  // of them.
   if (recently_exhausted(id, tokens)) co_return ReserveOutcome::kExhausted;
-  TokenDemand demand{tokens, budget, net::Clock::now(), deadline};
+  TokenRequest request{tokens, budget, net::Clock::now(), deadline};
   while (true) {
-    demand.from_rows = update_escrow(id, *entry, tokens, budget);
+    request.from_rows = update_escrow(id, *entry, tokens, budget);
     if (entry->account.reserve(tokens)) co_return ReserveOutcome::kReserved;
-    const auto outcome = co_await raise_grant(id, entry, demand);
+    const auto outcome = co_await raise_grant(id, entry, request);
     if (outcome != ReserveOutcome::kReserved) co_return outcome;
   }
 }
@@ -83,9 +87,9 @@
                                              std::int64_t budget) {
   auto entry = program(id);
   update_escrow(id, *entry, tokens, budget);
-  const auto rest = std::min(entry->account.available(), tokens);
-  if (rest * kUsefulDivisor < tokens) return 0;
-  return entry->account.reserve(rest) ? rest : 0;
+  const auto remaining = std::min(entry->account.available(), tokens);
+  if (remaining * kMinUsefulDivisor < tokens) return 0;
+  return entry->account.reserve(remaining) ? remaining : 0;
 }
 
 std::int64_t BudgetLedger::update_escrow(const std::string& id, Program& program,
@@ -102,7 +106,7 @@
 std::vector<std::size_t> BudgetLedger::shares_by_health(const std::string& program) const {
   auto parts = store::candidate_parts(program);
   parts.resize(kBudgetShares);
-  // Holders begin with different shares, so that they seldom disturb each other.
+  // Holders start with different shares, which reduces write conflicts.
   auto rotated = parts;
   const auto first = static_cast<std::uint64_t>(holder_) % kBudgetShares;
   std::rotate(rotated.begin(), rotated.begin() + static_cast<std::ptrdiff_t>(first), rotated.end());
@@ -116,11 +120,11 @@
 }
 
 void BudgetLedger::log_exhausted(const std::string& id, const BudgetAccount& account,
-                                 const TokenDemand& demand) {
+                                 const TokenRequest& request) {
   auto line = log_.event("budget_exhausted");
   line.with("program", id)
-      .with("tokens", demand.tokens)
-      .with("from_rows", demand.from_rows)
+      .with("tokens", request.tokens)
+      .with("from_rows", request.from_rows)
       .with("available", account.available())
       .with("reserved", account.reserved())
       .with("used", account.used())
@@ -132,20 +136,20 @@
 
 net::asio::awaitable<ReserveOutcome> BudgetLedger::raise_grant(std::string id,
                                                                ProgramPointer program,
-                                                               TokenDemand demand) {
+                                                               TokenRequest request) {
   bool fresh = false;  // all rows were read after this call began
-  auto pace = store_.begin(demand.deadline);
+  auto pace = store_.begin(request.deadline);
   while (pace.time_left()) {
-    const auto drawn = co_await draw_on_shares(id, program, demand, pace);
-    if (program->account.available() >= demand.tokens) co_return ReserveOutcome::kReserved;
-    if (drawn == StoreStatus::kFull) break;
-    if (drawn == StoreStatus::kConflict || drawn == StoreStatus::kDone) continue;
-    if (!drawn && fresh) {
-      log_exhausted(id, program->account, demand);
+    const auto written = co_await raise_grant_in_shares(id, program, request, pace);
+    if (program->account.available() >= request.tokens) co_return ReserveOutcome::kReserved;
+    if (written == StoreStatus::kFull) break;
+    if (written == StoreStatus::kConflict || written == StoreStatus::kDone) continue;
+    if (!written && fresh) {
+      log_exhausted(id, program->account, request);
       co_return ReserveOutcome::kExhausted;
     }
-    if (!drawn) fresh = co_await read_shares(id, program, demand.deadline);
-    if (!drawn && fresh) continue;
+    if (!written) fresh = co_await read_shares(id, program, request.deadline);
+    if (!written && fresh) continue;
     const auto pause = pace.next_pause(random_);
     if (!pause) break;
     co_await net::sleep_for(context_, *pause);
@@ -153,23 +157,24 @@
   co_return ReserveOutcome::kUnavailable;
 }
 
-net::asio::awaitable<std::optional<StoreStatus>> BudgetLedger::draw_on_shares(
-    std::string id, ProgramPointer program, TokenDemand demand, store::Pace& pace) {
+net::asio::awaitable<std::optional<StoreStatus>> BudgetLedger::raise_grant_in_shares(
+    std::string id, ProgramPointer program, TokenRequest request, store::Pace& pace) {
   std::optional<StoreStatus> last;
   for (const auto share : shares_by_health(id)) {
-    auto row = program->account.plan_grant(share, demand.tokens, demand.from_rows);
+    auto row = program->account.plan_grant(share, request.tokens, request.from_rows);
     if (!row) continue;
     auto write = budget_write(id, *program, share, *row);
     const auto result = co_await store_.transact_once(std::move(write), pace);
-    last = take_written(id, *program, share, std::move(*row), result);
-    if (program->account.available() >= demand.tokens || !time_left(demand.deadline)) break;
-    // Neither space nor rate is a part's own: the other shares have no more of it.
+    last = apply_write(id, *program, share, std::move(*row), result);
+    if (program->account.available() >= request.tokens || !time_left(request.deadline)) break;
+    // Capacity and rate limits apply to the whole store, so the other shares would fail as well.
     if (last == StoreStatus::kFull || last == StoreStatus::kThrottled) break;
     const auto now = net::Clock::now();
-    // Single answers get lost, and all are late while the store is slow: the part is asked again
-    // before another share is drawn on.
-    const bool part_alone = now >= demand.asked_at + kSilenceOfPart && !store_.latency().silent();
-    if (last == StoreStatus::kUnknown && !part_alone) break;
+    // A single response can get lost, and all responses are late while the store is slow. Retry the
+    // same partition before drawing on another share.
+    const bool only_part_silent =
+        now >= request.requested_at + kPartSilenceTimeout && !store_.latency().silent();
+    if (last == StoreStatus::kUnknown && !only_part_silent) break;
     if (store::failed(*last)) budget_parts_.note(budget_row(id, share).part, false, now);
   }
   co_return last;
@@ -191,9 +196,10 @@
   store::Transaction transaction;
   transaction.conditions.push_back({row_id, program.account.version(share)});
   if (const auto now = clock_.now(net::Clock::now())) {
-    // One entry a row: those of earlier writes would stay in the store for the row's whole life.
+    // Keep one index entry per row. Otherwise entries of earlier writes would stay in the store for
+    // the lifetime of the row.
     const auto replaced = row.expires_at;
-    row.__set_expires_at(*now + kBudgetLife.count());
+    row.__set_expires_at(*now + kBudgetRowTtl.count());
     const auto entry = [&](std::int64_t expires_at) {
       return expiry_row(row_id.part, {expires_at, kBudgetTable, id});
     };
@@ -209,8 +215,8 @@
   return transaction;
 }
 
-StoreStatus BudgetLedger::take_written(const std::string& id, Program& program, std::size_t share,
-                                       wire::BudgetRow row, const StoreResult& result) {
+StoreStatus BudgetLedger::apply_write(const std::string& id, Program& program, std::size_t share,
+                                      wire::BudgetRow row, const StoreResult& result) {
   const auto now = net::Clock::now();
   if (store::answered(result.status)) budget_parts_.note(budget_row(id, share).part, true, now);
   if (result.status == StoreStatus::kUnknown) program.account.mark_uncertain(share);
@@ -249,10 +255,10 @@
   program.account.apply_stored_row(share, wire::decode<wire::BudgetRow>(row.value), row.version);
 }
 
-net::asio::awaitable<ReleaseResult> BudgetLedger::give_back_share(std::string id,
-                                                                  ProgramPointer program,
-                                                                  std::size_t share, GiveBack plan,
-                                                                  net::TimePoint deadline) {
+net::asio::awaitable<ReleaseResult> BudgetLedger::write_share(std::string id,
+                                                              ProgramPointer program,
+                                                              std::size_t share, PlanWrite plan,
+                                                              net::TimePoint deadline) {
   auto& account = program->account;
   while (time_left(deadline)) {
     if (account.uncertain(share)) {
@@ -263,22 +269,23 @@
     if (!row) co_return ReleaseResult{};
     auto write = budget_write(id, *program, share, *row);
     const auto result = co_await store_.transact(std::move(write), deadline);
-    const auto status = take_written(id, *program, share, std::move(*row), result);
+    const auto status = apply_write(id, *program, share, std::move(*row), result);
     if (status == StoreStatus::kDone) co_return ReleaseResult{true, true};
     if (status == StoreStatus::kFull) break;
   }
   co_return ReleaseResult{false, false};
 }
 
-net::asio::awaitable<ReleaseResult> BudgetLedger::give_back(std::string id, ProgramPointer program,
-                                                            GiveBack plan,
-                                                            net::TimePoint deadline) {
+net::asio::awaitable<ReleaseResult> BudgetLedger::write_all_shares(std::string id,
+                                                                   ProgramPointer program,
+                                                                   PlanWrite plan,
+                                                                   net::TimePoint deadline) {
   const auto guard = co_await program->mutex.lock();
   ReleaseResult result;
   for (const auto share : shares_by_health(id)) {
-    const auto of_share = co_await give_back_share(id, program, share, plan, deadline);
-    result.released = result.released || of_share.released;
-    result.complete = result.complete && of_share.complete;
+    const auto share_result = co_await write_share(id, program, share, plan, deadline);
+    result.released = result.released || share_result.released;
+    result.complete = result.complete && share_result.complete;
   }
   co_return result;
 }
@@ -287,10 +294,10 @@
   const auto entry = programs_.find(id);
   if (entry == programs_.end()) co_return ReleaseResult{};
   auto held = entry->second;
-  co_return co_await give_back(id, held, &BudgetAccount::begin_release, deadline);
+  co_return co_await write_all_shares(id, held, &BudgetAccount::begin_release, deadline);
 }
 
-std::vector<std::string> BudgetLedger::holding_by_use() const {
+std::vector<std::string> BudgetLedger::programs_by_last_use() const {
   std::vector<std::pair<net::TimePoint, std::string>> holding;
   for (const auto& [id, program] : programs_) {
     if (program->account.available() > 0) holding.emplace_back(program->last_used, id);
@@ -302,7 +309,7 @@
   return ids;
 }
 
-net::asio::awaitable<void> BudgetLedger::release_next(std::shared_ptr<Releases> releases) {
+net::asio::awaitable<void> BudgetLedger::run_release_worker(std::shared_ptr<Releases> releases) {
   while (releases->next < releases->programs.size() && time_left(releases->deadline)) {
     const auto id = releases->programs[releases->next++];
     const auto result = co_await release(id, releases->deadline);
@@ -313,27 +320,28 @@
 
 net::asio::awaitable<void> BudgetLedger::release_all(net::TimePoint deadline) {
   auto releases = std::make_shared<Releases>();
-  releases->programs = holding_by_use();
+  releases->programs = programs_by_last_use();
   releases->deadline = deadline;
-  releases->workers = kReleasesAtOnce;
-  for (int worker = 0; worker < kReleasesAtOnce; ++worker) {
-    net::asio::co_spawn(context_, release_next(releases), net::asio::detached);
+  releases->workers = kMaxConcurrentReleases;
+  for (int worker = 0; worker < kMaxConcurrentReleases; ++worker) {
+    net::asio::co_spawn(context_, run_release_worker(releases), net::asio::detached);
   }
   while (releases->workers > 0 && time_left(deadline)) {
-    co_await net::sleep_for(context_, kReleasePoll);
+    co_await net::sleep_for(context_, kReleasePollInterval);
   }
   log_.event("tokens_released")
       .with("programs", releases->programs.size())
       .with("done", releases->done);
 }
 
-net::asio::awaitable<void> BudgetLedger::forget(std::string id) {
+net::asio::awaitable<void> BudgetLedger::evict(std::string id) {
   auto held = programs_.at(id);
   const auto last_used = held->last_used;
-  const auto deadline = net::Clock::now() + kForgetTime;
-  const auto result = co_await give_back(id, held, &BudgetAccount::begin_retirement, deadline);
-  held->leaving = false;
-  // NOTE: a turn may have come meanwhile; its account goes on with what the row says.
+  const auto deadline = net::Clock::now() + kEvictionTimeout;
+  const auto result =
+      co_await write_all_shares(id, held, &BudgetAccount::begin_retirement, deadline);
+  held->evicting = false;
+  // NOTE: a turn may have started in the meantime; its account then continues from the written row.
   const bool unused = held->last_used == last_used && held->account.idle();
   if (!result.complete || !unused) co_return;
   escrow_.record_spent(id, held->account.escrow_spent());
@@ -349,27 +357,28 @@
   return spent;
 }
 
-net::asio::awaitable<void> BudgetLedger::touch(std::string id) {
+net::asio::awaitable<void> BudgetLedger::refresh(std::string id) {
   auto held = programs_.at(id);
-  co_await give_back(id, held, &BudgetAccount::current_row, net::Clock::now() + kForgetTime);
+  co_await write_all_shares(id, held, &BudgetAccount::current_row,
+                            net::Clock::now() + kEvictionTimeout);
 }
 
 void BudgetLedger::evict_idle(net::TimePoint now) {
-  if (now < next_forgetting_) return;
-  next_forgetting_ = now + kForgetInterval;
-  std::size_t begun = 0;
+  if (now < next_eviction_) return;
+  next_eviction_ = now + kEvictionInterval;
+  std::size_t started = 0;
   for (const auto& [id, program] : programs_) {
-    const bool idle = now >= program->last_used + kIdleTime && program->account.idle();
-    const bool aging = now >= program->last_written + kBudgetTouch;
-    if (program->leaving || (!idle && !aging)) continue;
+    const bool idle = now >= program->last_used + kIdleTimeout && program->account.idle();
+    const bool refresh_due = now >= program->last_written + kBudgetRefreshInterval;
+    if (program->evicting || (!idle && !refresh_due)) continue;
     if (idle) {
-      program->leaving = true;
-      net::asio::co_spawn(context_, forget(id), net::asio::detached);
+      program->evicting = true;
+      net::asio::co_spawn(context_, evict(id), net::asio::detached);
     } else {
       program->last_written = now;
-      net::asio::co_spawn(context_, touch(id), net::asio::detached);
+      net::asio::co_spawn(context_, refresh(id), net::asio::detached);
     }
-    if (++begun == kForgottenAtOnce) return;
+    if (++started == kMaxEvictionsPerRound) return;
   }
 }
 
@@ -380,7 +389,7 @@
 void BudgetLedger::mark_exhausted(const std::string& id, std::int64_t tokens) {
   auto entry = program(id);
   entry->exhausted_tokens = tokens;
-  entry->exhausted_until = net::Clock::now() + kExhaustedMemory;
+  entry->exhausted_until = net::Clock::now() + kExhaustedCacheTtl;
 }
 
 bool BudgetLedger::recently_exhausted(const std::string& id, std::int64_t tokens) const {
--- a/src/ledger/budget_ledger.hpp
+++ b/src/ledger/budget_ledger.hpp
@@ -1,4 +1,4 @@
-/// @file Token budgets of programs, kept in the table store.
+/// @file Reserves tokens of program budgets that are stored in the table store.
 #pragma once
 
 #include <cstdint>
@@ -21,66 +21,69 @@
 
 enum class ReserveOutcome {
   kReserved,
-  kExhausted,    ///< the budget cannot hold the turn
-  kUnavailable,  ///< nobody can tell now
+  kExhausted,    ///< the budget does not cover the turn
+  kUnavailable,  ///< the state of the budget cannot be determined now
 };
 
-/// How giving tokens back ended.
+/// Result of returning tokens to the store.
 struct ReleaseResult {
-  bool released = false;  ///< the store has some tokens back
-  bool complete = true;   ///< nothing that was to be given is left
+  bool released = false;  ///< some tokens were returned to the store
+  bool complete = true;   ///< no tokens that should be returned remain
 };
 
-/// Not thread-safe: belongs to the event loop. All waits end before the given deadline.
+/// Not thread-safe: use only on the event loop. All operations end before the given deadline.
 class BudgetLedger {
  public:
-  /// @param holder identifies this process among all that ever ran.
+  /// @param holder identifies this process uniquely among all past and present processes.
   BudgetLedger(net::asio::io_context& context, store::TableStore& store,
                const store::StoreClock& clock, EscrowClaims& escrow, observe::StructuredLog& log,
                std::int64_t holder);
 
-  /// Sets `tokens` of the program's budget aside for one turn.
+  /// Reserves `tokens` of the program's budget for one turn.
   net::asio::awaitable<ReserveOutcome> reserve(std::string program, std::int64_t tokens,
                                                std::int64_t budget, net::TimePoint deadline);
-  /// Sets what is left of this node's tokens aside for one turn, without the store.
-  /// @return tokens reserved, `tokens` at most; 0: too few to be of use.
+  /// Reserves the tokens that this node still has available for one turn, without accessing the
+  /// store.
+  /// @return the number of reserved tokens, at most `tokens`; 0 if too few are available to be
+  /// useful.
   std::int64_t reserve_remaining(const std::string& program, std::int64_t tokens,
                                  std::int64_t budget);
-  /// The budget cannot hold a turn of so many tokens, and no holder gives any back: said again from
-  /// memory for a short time, as programs without end ask again and again.
+  /// Records that the budget does not cover a turn of this size and that no other holder returns
+  /// tokens. The result is cached for a short time, because programs in an endless loop keep
+  /// asking.
   void mark_exhausted(const std::string& program, std::int64_t tokens);
   bool recently_exhausted(const std::string& program, std::int64_t tokens) const;
-  /// Ends a reservation. @param used tokens that were handed to the caller.
+  /// Ends a reservation. @param used tokens delivered to the caller.
   void settle(const std::string& program, std::int64_t reserved, std::int64_t used);
 
-  /// Time in which the store answers a call, if it does.
+  /// Time within which the store is expected to respond.
   net::Millis store_call_timeout() const { return store_.patience(); }
   store::LatencyEstimate& latency() { return store_.latency(); }
 
-  /// Gives back tokens of the program that no turn uses.
+  /// Returns the program's unused tokens to the store.
   net::asio::awaitable<ReleaseResult> release(std::string program, net::TimePoint deadline);
-  /// Gives back the unused tokens of all programs, those used last first, as far as the time goes:
-  /// this process stops.
+  /// Returns the unused tokens of all programs before shutdown, most recently used programs first,
+  /// until the deadline.
   net::asio::awaitable<void> release_all(net::TimePoint deadline);
-  /// Tokens of their escrow that programs in memory spent, by program.
+  /// Escrow tokens spent by each program in memory.
   std::map<std::string, std::int64_t> escrow_spent() const;
-  /// Gives back the tokens of programs that were not used for long, and forgets them; keeps the
-  /// rows of the others from expiring.
+  /// Returns the tokens of programs that have been idle for long and removes them from memory.
+  /// Refreshes the rows of all other programs so that they do not expire.
   void evict_idle(net::TimePoint now);
-  /// Programs in memory.
+  /// Number of programs in memory.
   std::size_t programs() const { return programs_.size(); }
-  /// Other processes that hold tokens of the program, as far as this one knows.
+  /// Other processes known to hold tokens of the program.
   std::vector<std::int64_t> other_holders(const std::string& program);
 
  private:
-  /// Rows that a budget is split into, each in a part of its own.
+  /// Number of rows a budget is divided into, each in a different partition of the store.
   static constexpr std::size_t kBudgetShares = 3;
 
-  /// What a turn needs of its program's budget.
-  struct TokenDemand {
+  /// Tokens that a turn needs from its program's budget.
+  struct TokenRequest {
     std::int64_t tokens = 0;
-    std::int64_t from_rows = 0;  ///< tokens that the budget's rows may grant in all
-    net::TimePoint asked_at;
+    std::int64_t from_rows = 0;  ///< total number of tokens that the budget's rows may grant
+    net::TimePoint requested_at;
     net::TimePoint deadline;
   };
 
@@ -88,14 +91,14 @@
     Program(net::asio::io_context& context, std::int64_t holder)
         : account(holder, kBudgetShares), mutex(context) {}
     BudgetAccount account;
-    net::AsyncMutex mutex;  ///< one write of the budget's rows at a time
+    net::AsyncMutex mutex;  ///< serializes writes of the budget's rows
     net::TimePoint last_used{};
-    net::TimePoint last_written = net::Clock::now();  ///< some row of the budget
-    bool leaving = false;                             ///< being forgotten
+    net::TimePoint last_written = net::Clock::now();  ///< last write of any row of the budget
+    bool evicting = false;                            ///< eviction is in progress
     std::int64_t exhausted_tokens = 0;
     net::TimePoint exhausted_until{};
   };
-  /// Tokens that are given back at a planned stop.
+  /// Progress of returning tokens at a planned shutdown.
   struct Releases {
     std::vector<std::string> programs;
     std::size_t next = 0;
@@ -106,53 +109,53 @@
 
   using ProgramPointer = std::shared_ptr<Program>;
 
-  using GiveBack = std::optional<wire::BudgetRow> (BudgetAccount::*)(std::size_t);
+  /// Computes the row to write for a share; nullopt if no write is needed.
+  using PlanWrite = std::optional<wire::BudgetRow> (BudgetAccount::*)(std::size_t);
 
-  /// Takes the escrow that this node may spend now over into the account.
-  /// @return tokens that the rows of the budget may grant in all.
+  /// Sets the account's escrow to what this node may spend now.
+  /// @return total number of tokens that the budget's rows may grant.
   std::int64_t update_escrow(const std::string& id, Program& program, std::int64_t tokens,
                              std::int64_t budget);
-  /// Where a share of a program's budget is kept.
+  /// ID of the row that holds a share of a program's budget.
   static store::RowId budget_row(const std::string& program, std::size_t share);
-  /// Shares whose parts failed lately come last.
+  /// Shares in the order to try them; those whose partitions failed recently come last.
   std::vector<std::size_t> shares_by_health(const std::string& program) const;
 
   ProgramPointer program(const std::string& id);
-  /// Writes what `plan` gives for each share until that holds.
-  net::asio::awaitable<ReleaseResult> give_back(std::string id, ProgramPointer program,
-                                                GiveBack plan, net::TimePoint deadline);
+  /// Writes the row computed by `plan` for each share, retrying until the write succeeds, the store
+  /// is full or the deadline passes.
+  net::asio::awaitable<ReleaseResult> write_all_shares(std::string id, ProgramPointer program,
+                                                       PlanWrite plan, net::TimePoint deadline);
   net::asio::awaitable<ReserveOutcome> raise_grant(std::string id, ProgramPointer program,
-                                                   TokenDemand demand);
-  /// Raises the grant in one share after the other until the turn is held.
-  /// @return how the last write ended; nullopt: no share has anything to give, as far as known.
-  net::asio::awaitable<std::optional<store::StoreStatus>> draw_on_shares(std::string id,
-                                                                         ProgramPointer program,
-                                                                         TokenDemand demand,
-                                                                         store::Pace& pace);
-  /// Reads all shares anew. @return whether all were read.
+                                                   TokenRequest request);
+  /// Increases the grant in one share after the other until the request is covered.
+  /// @return status of the last write; nullopt if no share is known to have unallocated tokens.
+  net::asio::awaitable<std::optional<store::StoreStatus>> raise_grant_in_shares(
+      std::string id, ProgramPointer program, TokenRequest request, store::Pace& pace);
+  /// Reads the rows of all shares. @return whether all reads succeeded.
   net::asio::awaitable<bool> read_shares(std::string id, ProgramPointer program,
                                          net::TimePoint deadline);
-  /// The conditional write of a share's row, with its entry of the expiry index in place of the one
-  /// before. @param row gets the time at which it expires.
+  /// Builds the conditional write of a share's row, which also replaces its expiry index entry.
+  /// @param row its expiry time is set.
   store::Transaction budget_write(const std::string& id, const Program& program, std::size_t share,
                                   wire::BudgetRow& row) const;
-  /// Takes over how the write of a share's row ended.
-  store::StoreStatus take_written(const std::string& id, Program& program, std::size_t share,
-                                  wire::BudgetRow row, const store::StoreResult& result);
+  /// Updates the account with the result of writing a share's row.
+  store::StoreStatus apply_write(const std::string& id, Program& program, std::size_t share,
+                                 wire::BudgetRow row, const store::StoreResult& result);
   net::asio::awaitable<bool> read_budget(std::string id, ProgramPointer program, std::size_t share,
                                          net::TimePoint deadline);
-  net::asio::awaitable<ReleaseResult> give_back_share(std::string id, ProgramPointer program,
-                                                      std::size_t share, GiveBack plan,
-                                                      net::TimePoint deadline);
+  net::asio::awaitable<ReleaseResult> write_share(std::string id, ProgramPointer program,
+                                                  std::size_t share, PlanWrite plan,
+                                                  net::TimePoint deadline);
   void log_exhausted(const std::string& id, const BudgetAccount& account,
-                     const TokenDemand& demand);
-  /// Gives back the tokens of one program after the other until none is left.
-  net::asio::awaitable<void> release_next(std::shared_ptr<Releases> releases);
-  net::asio::awaitable<void> forget(std::string id);
-  /// Writes the rows of a budget as they are, so that they do not expire.
-  net::asio::awaitable<void> touch(std::string id);
-  /// Programs with unused tokens, those used last first.
-  std::vector<std::string> holding_by_use() const;
+                     const TokenRequest& request);
+  /// Returns the tokens of one program after another until none are left or the deadline passes.
+  net::asio::awaitable<void> run_release_worker(std::shared_ptr<Releases> releases);
+  net::asio::awaitable<void> evict(std::string id);
+  /// Rewrites the rows of a budget unchanged, so that they do not expire.
+  net::asio::awaitable<void> refresh(std::string id);
+  /// Programs with available tokens, most recently used first.
+  std::vector<std::string> programs_by_last_use() const;
   static void apply_read(Program& program, std::size_t share, const store::StoreResult& result);
 
   net::asio::io_context& context_;
@@ -164,7 +167,7 @@
   observe::StructuredLog& log_;
   std::int64_t holder_;
   std::unordered_map<std::string, ProgramPointer> programs_;
-  net::TimePoint next_forgetting_{};
+  net::TimePoint next_eviction_{};
 };
 
 }  // namespace sailgate::ledger
--- a/src/ledger/escrow_claims.cpp
+++ b/src/ledger/escrow_claims.cpp
@@ -12,22 +12,25 @@
 using store::StoreStatus;
 
 constexpr const char* kEscrowTable = "escrow";
-/// One part for all rows: one read brings them, and they are seldom written.
+/// All rows are in one partition: one read returns them all, and they are seldom written.
 constexpr const char* kEscrowPart = "escrow";
-/// A node looks for shards without an owner this often; it asks the store only if there are some.
+/// Interval at which a node checks for shards without an owner; it reads the store only if there
+/// are any.
 constexpr net::Millis kClaimInterval{250};
-/// A node that just started first hears which others there are: some rounds of their beacons.
-constexpr net::Millis kSettleTime{1500};
-/// Longest wait for one answer of the store: there is always a next round.
+/// A node that has just started first waits for several rounds of beacons, to learn which other
+/// nodes exist.
+constexpr net::Millis kStartupDelay{1500};
+/// Timeout of one store call; a failed call is retried in the next round.
 constexpr net::Millis kStoreTimeout{700};
-/// Between tries to hand over: some fit into the time that a stop takes for it.
-constexpr net::Millis kHandOverPause{50};
-/// Rows of one transaction; the store takes 100 at most.
-constexpr std::size_t kRowsAtOnce = 50;
-/// What programs of the past spent is looked through this often.
-constexpr net::Millis kForgetInterval{std::chrono::seconds(10)};
-/// Programs of one shard whose spending a row lists: 12 bytes each, and a row holds 64 KiB.
-constexpr std::size_t kMostSpentListed = 4000;
+/// Short enough for several attempts within the time that a shutdown allows for the handover.
+constexpr net::Millis kHandOverRetryDelay{50};
+/// Rows per transaction; the store accepts at most 100.
+constexpr std::size_t kMaxRowsPerTransaction = 50;
+/// Interval at which spending records of ended programs are removed.
+constexpr net::Millis kEvictionInterval{std::chrono::seconds(10)};
+/// Maximum number of programs whose spending is listed in a shard's row: 12 bytes each, and a row
+/// holds 64 KiB.
+constexpr std::size_t kMaxSpentEntries = 4000;
 
 std::string shard_key(int shard) { return std::to_string(shard); }
 
@@ -86,9 +89,9 @@
   entry.last_used = net::Clock::now();
 }
 
-void EscrowClaims::forget_ended(net::TimePoint now) {
-  if (now < next_forgetting_) return;
-  next_forgetting_ = now + kForgetInterval;
+void EscrowClaims::evict_ended(net::TimePoint now) {
+  if (now < next_eviction_) return;
+  next_eviction_ = now + kEvictionInterval;
   for (auto entry = spent_.begin(); entry != spent_.end();) {
     const bool ended = now >= entry->second.last_used + kMaxProgramLifetime;
     entry = ended ? spent_.erase(entry) : std::next(entry);
@@ -96,7 +99,7 @@
 }
 
 net::asio::awaitable<void> EscrowClaims::run() {
-  co_await net::sleep_for(context_, kSettleTime);
+  co_await net::sleep_for(context_, kStartupDelay);
   while (!stopping_) {
     co_await claim_and_renew();
     co_await net::sleep_for(context_, kClaimInterval);
@@ -106,7 +109,7 @@
 net::asio::awaitable<void> EscrowClaims::claim_and_renew() {
   co_await claim_unowned();
   co_await renew();
-  forget_ended(net::Clock::now());
+  evict_ended(net::Clock::now());
 }
 
 std::vector<EscrowClaims::Write> EscrowClaims::plan_claims(const std::vector<int>& wanted,
@@ -125,7 +128,7 @@
       continue;
     }
     const auto current = wire::decode<wire::EscrowRow>(found->second->value);
-    // NOTE: an owner that lives and was not heard naming the shard yet has just claimed it.
+    // NOTE: a live owner that has not been heard announcing the shard has only just claimed it.
     if (current.owner != 0 && current.owner != holder_ && peers_->is_alive(current.owner)) continue;
     write.row = plan_claim(&current, holder_, now_ms);
     write.version = found->second->version;
@@ -157,25 +160,26 @@
   }
   if (writes.empty()) co_return;
   const auto renewed = writes;
-  const auto end = co_await write(std::move(writes), kStoreTimeout);
-  if (end != WriteEnd::kConflict) co_return;
-  // A renewal whose answer was lost took effect, or somebody else took the shard: the rows tell.
+  const auto outcome = co_await write(std::move(writes), kStoreTimeout);
+  if (outcome != WriteOutcome::kConflict) co_return;
+  // Either a renewal whose response was lost took effect, or another node has claimed the shard.
+  // The next claim reads the rows to find out.
   for (const auto& write : renewed) claims_.erase(write.shard);
 }
 
-net::asio::awaitable<EscrowClaims::WriteEnd> EscrowClaims::write(std::vector<Write> writes,
-                                                                 net::Millis timeout) {
-  auto end = WriteEnd::kDone;
-  for (std::size_t first = 0; first < writes.size(); first += kRowsAtOnce) {
-    const auto last = std::min(first + kRowsAtOnce, writes.size());
+net::asio::awaitable<EscrowClaims::WriteOutcome> EscrowClaims::write(std::vector<Write> writes,
+                                                                     net::Millis timeout) {
+  auto outcome = WriteOutcome::kDone;
+  for (std::size_t first = 0; first < writes.size(); first += kMaxRowsPerTransaction) {
+    const auto last = std::min(first + kMaxRowsPerTransaction, writes.size());
     const std::vector<Write> batch(writes.begin() + static_cast<std::ptrdiff_t>(first),
                                    writes.begin() + static_cast<std::ptrdiff_t>(last));
-    end = std::max(end, co_await write_batch(batch, timeout));
+    outcome = std::max(outcome, co_await write_batch(batch, timeout));
   }
-  co_return end;
+  co_return outcome;
 }
 
-net::asio::awaitable<EscrowClaims::WriteEnd> EscrowClaims::write_batch(
+net::asio::awaitable<EscrowClaims::WriteOutcome> EscrowClaims::write_batch(
     const std::vector<Write>& batch, net::Millis timeout) {
   store::Transaction transaction;
   for (const auto& write : batch) {
@@ -197,12 +201,13 @@
       .with("status", static_cast<int>(result.status))
       .with("row_version", result.version);
   if (!done)
-    co_return result.status == StoreStatus::kConflict ? WriteEnd::kConflict : WriteEnd::kNoAnswer;
+    co_return result.status == StoreStatus::kConflict ? WriteOutcome::kConflict
+                                                      : WriteOutcome::kNoResponse;
   for (const auto& write : batch) {
     if (write.row.owner != holder_ || stopping_) continue;
     claims_[write.shard] = Claim{write.row, result.version, sent_at};
   }
-  co_return WriteEnd::kDone;
+  co_return WriteOutcome::kDone;
 }
 
 std::vector<EscrowClaims::Write> EscrowClaims::plan_handovers(const std::map<int, Claim>& claims,
@@ -219,8 +224,8 @@
       if (earlier != claim.row.spent.end()) tokens += earlier->second;
     }
     auto row = plan_handover(claim.row, spent, now_ms);
-    // A row that would not fit is left as it is: its whole escrow counts as spent.
-    if (row.spent.size() > kMostSpentListed) continue;
+    // A row that would be too large is not written: its whole escrow then counts as spent.
+    if (row.spent.size() > kMaxSpentEntries) continue;
     writes.push_back({shard, std::move(row), claim.version});
   }
   return writes;
@@ -228,22 +233,23 @@
 
 net::asio::awaitable<void> EscrowClaims::hand_over(std::map<std::string, std::int64_t> accounts,
                                                    net::TimePoint deadline) {
-  // NOTE: the shards are given up before anything is written, so that nothing more is spent.
+  // NOTE: the claims are dropped before anything is written, so that no more tokens are spent.
   stopping_ = true;
   const auto claims = std::exchange(claims_, {});
   for (const auto& [program, tokens] : accounts) record_spent(program, tokens);
   const auto now_ms = clock_.now(net::Clock::now());
   if (!enabled() || claims.empty() || !now_ms) co_return;
   const auto writes = plan_handovers(claims, *now_ms);
-  auto end = WriteEnd::kNoAnswer;
-  while (end == WriteEnd::kNoAnswer && net::Clock::now() < deadline) {
-    end = co_await write(writes, kStoreTimeout);
+  auto outcome = WriteOutcome::kNoResponse;
+  while (outcome == WriteOutcome::kNoResponse && net::Clock::now() < deadline) {
+    outcome = co_await write(writes, kStoreTimeout);
     // A refusal comes at once: without a pause a stopping node asked as fast as it is answered.
-    if (end == WriteEnd::kNoAnswer) co_await net::sleep_for(context_, kHandOverPause);
+    if (outcome == WriteOutcome::kNoResponse)
+      co_await net::sleep_for(context_, kHandOverRetryDelay);
   }
   log_.event("escrow_handed_over")
       .with("shards", writes.size())
-      .with("done", static_cast<int>(end == WriteEnd::kDone));
+      .with("done", static_cast<int>(outcome == WriteOutcome::kDone));
 }
 
 }  // namespace sailgate::ledger
--- a/src/ledger/escrow_claims.hpp
+++ b/src/ledger/escrow_claims.hpp
@@ -1,4 +1,4 @@
-/// @file The shards of programs that this node owns, and how it gets, keeps and hands them on.
+/// @file Claims, renews and hands over this node's escrow shards.
 #pragma once
 
 #include <cstdint>
@@ -17,49 +17,51 @@
 
 namespace sailgate::ledger {
 
-/// What other nodes know, as far as claims depend on it.
+/// Information about other nodes that claims depend on.
 struct EscrowPeers {
-  /// Shards without a live owner that this node should claim.
+  /// Returns shards without a live owner that this node should claim.
   std::function<std::vector<int>()> unowned;
-  /// Whether a process lives, as far as this node has heard.
+  /// Returns whether a process is alive as far as this node knows.
   std::function<bool(std::int64_t incarnation)> is_alive;
 };
 
-/// Not thread-safe: belongs to the event loop.
+/// Not thread-safe: use only on the event loop.
 class EscrowClaims {
  public:
-  /// @param holder identifies this process among all that ever ran.
+  /// @param holder identifies this process uniquely among all past and present processes.
   EscrowClaims(net::asio::io_context& context, store::TableStore& store,
                const store::StoreClock& clock, observe::StructuredLog& log, std::int64_t holder)
       : context_(context), store_(store), clock_(clock), log_(log), holder_(holder) {}
 
-  /// Until this is called all budgets are in their rows whole.
+  /// Until this is called there is no escrow, and the budget rows hold all budgets in full.
   void enable(EscrowPeers peers);
   bool enabled() const { return peers_.has_value(); }
 
-  /// Claims and renews for as long as the event loop runs and nothing is handed over.
+  /// Claims and renews shards periodically until the event loop stops or hand_over() is called.
   net::asio::awaitable<void> run();
-  /// One round of run().
+  /// Runs one iteration of run().
   net::asio::awaitable<void> claim_and_renew();
 
-  /// Whether this node answers for the program's shard, with or without an escrow to spend.
+  /// Returns whether this node owns the program's shard, whether or not its escrow may be spent.
   bool owns(const std::string& program) const;
-  /// Whether this node has an escrow of the program to spend.
+  /// Returns whether this node owns the program's shard and may spend its escrow.
   bool may_spend(const std::string& program) const;
-  /// How the budget of a program is divided for this node now.
+  /// Returns how the program's budget is currently divided for this node.
   BudgetDivision division(const std::string& program, std::int64_t budget,
                           std::int64_t turn_tokens) const;
-  /// Tokens of the program's escrow that were spent before its account in memory began.
+  /// Tokens of the program's escrow that were spent before its current account in memory was
+  /// created.
   std::int64_t previously_spent(const std::string& program) const;
-  /// The program's account is dropped from memory. @param spent of its escrow since it began.
+  /// Called when the program's account is dropped from memory. @param spent escrow tokens that the
+  /// account spent.
   void record_spent(const std::string& program, std::int64_t spent);
 
-  /// Owned shards, for the other nodes.
+  /// Owned shards, as announced to other nodes: those whose escrow may be spent, and those without.
   std::vector<std::int16_t> spendable_shards() const { return shards(true); }
   std::vector<std::int16_t> bare_shards() const { return shards(false); }
 
-  /// This node stops: gives its shards up at once and writes what it spent.
-  /// @param accounts tokens of their escrow that programs in memory spent, by program.
+  /// Gives up all shards immediately and writes what was spent, because this node shuts down.
+  /// @param accounts escrow tokens spent by each program in memory.
   net::asio::awaitable<void> hand_over(std::map<std::string, std::int64_t> accounts,
                                        net::TimePoint deadline);
 
@@ -67,32 +69,35 @@
   struct Claim {
     wire::EscrowRow row;
     std::int64_t version = 0;
-    net::TimePoint written_at{};  ///< before the write was sent
+    net::TimePoint written_at{};  ///< taken before the write was sent
   };
   struct Spent {
     std::int64_t tokens = 0;
     net::TimePoint last_used{};
   };
-  /// A row to write and the shard that it is of.
+  /// A row to write and its shard.
   struct Write {
     int shard = 0;
     wire::EscrowRow row;
     std::int64_t version = 0;
   };
-  enum class WriteEnd { kDone, kConflict, kNoAnswer };
+  enum class WriteOutcome { kDone, kConflict, kNoResponse };
 
   std::vector<std::int16_t> shards(bool spendable) const;
   bool spendable(const Claim& claim) const;
   net::asio::awaitable<void> claim_unowned();
   net::asio::awaitable<void> renew();
-  /// Shards to be written of those wanted, as the store has them.
+  /// Returns the writes that claim the `wanted` shards, given the stored rows; skips shards whose
+  /// owner is alive.
   std::vector<Write> plan_claims(const std::vector<int>& wanted,
                                  const std::vector<store::Row>& rows, std::int64_t now_ms) const;
-  /// Writes rows, some in each transaction, and takes over what was written.
-  net::asio::awaitable<WriteEnd> write(std::vector<Write> writes, net::Millis timeout);
-  net::asio::awaitable<WriteEnd> write_batch(const std::vector<Write>& batch, net::Millis timeout);
-  void forget_ended(net::TimePoint now);
-  /// Rows that hand `claims` on with all that was spent.
+  /// Writes the rows in batches, one transaction each, and updates the claims with those that
+  /// succeeded.
+  net::asio::awaitable<WriteOutcome> write(std::vector<Write> writes, net::Millis timeout);
+  net::asio::awaitable<WriteOutcome> write_batch(const std::vector<Write>& batch,
+                                                 net::Millis timeout);
+  void evict_ended(net::TimePoint now);
+  /// Returns the writes that hand over `claims` and record everything spent.
   std::vector<Write> plan_handovers(const std::map<int, Claim>& claims, std::int64_t now_ms) const;
 
   net::asio::io_context& context_;
@@ -102,8 +107,9 @@
   std::int64_t holder_;
   std::optional<EscrowPeers> peers_;
   std::map<int, Claim> claims_;
-  std::unordered_map<std::int64_t, Spent> spent_;  ///< of programs without an account, by digest
-  net::TimePoint next_forgetting_{};
+  std::unordered_map<std::int64_t, Spent>
+      spent_;  ///< of programs without an account, by program digest
+  net::TimePoint next_eviction_{};
   bool stopping_ = false;
 };
 
--- a/src/ledger/escrow_shard.cpp
+++ b/src/ledger/escrow_shard.cpp
@@ -8,24 +8,25 @@
 
 namespace {
 
-/// Keeps the digest of a program independent of its parts in the store.
+/// Makes the digest of a program independent of its choice of store partitions.
 constexpr std::uint64_t kDigestSeed = 0x657363726f77;
 
-/// An owner may spend one turn and this part of the rest of the budget without the rows: a larger
-/// part carries programs further through an outage, a smaller one leaves them more when their owner
-/// is lost.
+/// An owner may spend one turn and this fraction of the rest of the budget without the budget rows.
+/// A larger fraction lets programs continue longer during an outage of the store; a smaller one
+/// leaves more tokens when their owner is lost.
 constexpr std::int64_t kEscrowDivisor = 3;
 
-/// Grows with the turn, but by no more than the turn does: whoever follows a lost owner may be
-/// asked for another turn than that one, and still assumes no less than it can have spent beyond a
-/// turn. Half of the budget at most, or one turn, so that two turns are left for whoever follows.
+/// Returns the escrow for a turn size. It grows with the turn, but by no more than the turn does:
+/// the successor of a lost owner may be asked for a turn of another size, and must still assume at
+/// least as much spending beyond one turn as the lost owner could have done. The escrow is at most
+/// half of the budget, or one turn, so that two turns are left for the successor.
 std::int64_t escrow_of(std::int64_t budget, std::int64_t turn_tokens) {
-  const std::int64_t beyond = std::max<std::int64_t>(budget - turn_tokens, 0);
-  const std::int64_t most = std::max(turn_tokens, budget / 2);
-  return std::min({budget, turn_tokens + beyond / kEscrowDivisor, most});
+  const std::int64_t excess = std::max<std::int64_t>(budget - turn_tokens, 0);
+  const std::int64_t limit = std::max(turn_tokens, budget / 2);
+  return std::min({budget, turn_tokens + excess / kEscrowDivisor, limit});
 }
 
-bool may_forget_spent(const wire::EscrowRow& row, std::int64_t now_ms) {
+bool spent_expired(const wire::EscrowRow& row, std::int64_t now_ms) {
   return now_ms >= row.spent_until;
 }
 
@@ -47,8 +48,8 @@
 }
 
 BudgetDivision non_owner_division(std::int64_t budget, std::int64_t turn_tokens) {
-  const auto unseen = escrow_of(budget, turn_tokens);
-  return {0, std::min(budget, budget + turn_tokens - unseen)};
+  const auto possible_escrow = escrow_of(budget, turn_tokens);
+  return {0, std::min(budget, budget + turn_tokens - possible_escrow)};
 }
 
 wire::EscrowRow plan_claim(const wire::EscrowRow* row, std::int64_t claimant, std::int64_t now_ms) {
@@ -57,16 +58,16 @@
   const bool lost_owner = row != nullptr && row->owner != 0 && row->owner != claimant;
   if (row == nullptr) claimed.spendable = true;
   if (lost_owner && row->spendable) {
-    // The lost owner may be alive, and spends until its claim runs out.
-    const auto last_spent = std::max(now_ms, row->claimed_at + kClaimLifetime.count());
+    // The lost owner may still be alive, and may spend until its claim expires.
+    const auto last_spend_ms = std::max(now_ms, row->claimed_at + kClaimLifetime.count());
     claimed.spendable = false;
-    claimed.spendable_from = last_spent + kMaxProgramLifetime.count();
+    claimed.spendable_from = last_spend_ms + kMaxProgramLifetime.count();
   }
   if (!claimed.spendable && now_ms >= claimed.spendable_from) {
     claimed.spendable = true;
     claimed.spent.clear();
   }
-  if (may_forget_spent(claimed, now_ms)) claimed.spent.clear();
+  if (spent_expired(claimed, now_ms)) claimed.spent.clear();
   claimed.owner = claimant;
   claimed.claimed_at = now_ms;
   return claimed;
@@ -76,7 +77,7 @@
                               const std::map<std::int64_t, std::int64_t>& spent,
                               std::int64_t now_ms) {
   wire::EscrowRow handed_over = row;
-  if (may_forget_spent(row, now_ms)) handed_over.spent.clear();
+  if (spent_expired(row, now_ms)) handed_over.spent.clear();
   for (const auto& [program, tokens] : spent) handed_over.spent[program] = tokens;
   handed_over.owner = 0;
   handed_over.claimed_at = now_ms;
--- a/src/ledger/expiry_index.hpp
+++ b/src/ledger/expiry_index.hpp
@@ -1,8 +1,8 @@
-/// @file When rows of the ledger may be removed, as rows of an index.
+/// @file Index of the times at which rows of the ledger expire.
 ///
-/// An entry is written in the same transaction as the row it is about, in the same part, so both
-/// have one version. A row that was written again since has a newer version, and an entry of its
-/// own: an entry whose version is not the row's is out of date.
+/// An index entry is written in the same transaction and partition as the row it refers to, so both
+/// have the same version. Rewriting the row creates a newer version with its own entry. An entry
+/// whose version differs from the row's version is therefore stale.
 #pragma once
 
 #include <cstdint>
@@ -16,19 +16,19 @@
 inline constexpr const char* kExpiryTable = "expiry";
 
 struct ExpiryEntry {
-  std::int64_t expires_at = 0;  ///< by the store's clock, in milliseconds
+  std::int64_t expires_at = 0;  ///< time of the store's clock in milliseconds
   std::string table;
   std::string key;
 };
 
-/// Key of an entry; keys are in order of time.
+/// Returns the key of an entry; keys sort by expiry time.
 std::string encode_expiry_key(const ExpiryEntry& entry);
-/// @return nullopt when the text is no such key.
+/// @return nullopt if the text is not a valid key.
 std::optional<ExpiryEntry> decode_expiry_key(const std::string& text);
-/// First key of entries that expire at `time` or later.
+/// Returns the lower bound of the keys of entries that expire at `time` or later.
 std::string first_expiry_key(std::int64_t time);
 
-/// The index row of an entry.
+/// Returns the index row for an entry.
 store::Row expiry_row(const std::string& part, const ExpiryEntry& entry);
 
 }  // namespace sailgate::ledger
--- a/src/ledger/expiry_sweeper.cpp
+++ b/src/ledger/expiry_sweeper.cpp
@@ -11,31 +11,32 @@
 
 using store::StoreStatus;
 
-/// Rows are kept this much longer than their time: clocks are estimates.
-constexpr std::int64_t kMarginMs = 10'000;
+/// Rows are kept this much longer than their expiry time, because the store's clock is only
+/// estimated.
+constexpr std::int64_t kClockMarginMs = 10'000;
 constexpr net::Millis kCallTimeout{700};
-/// A transaction holds 100 entries; each row takes three.
-constexpr int kRowsAtOnce = 32;
+/// A transaction holds at most 100 operations, and each row takes three.
+constexpr int kMaxRowsPerBatch = 32;
 
 store::RowId row_of(const store::Row& entry, const ExpiryEntry& decoded) {
   return {decoded.table, entry.id.part, decoded.key};
 }
 
-bool same(const store::RowId& one, const store::RowId& other) {
+bool same_row(const store::RowId& one, const store::RowId& other) {
   return one.table == other.table && one.part == other.part && one.key == other.key;
 }
 
 }  // namespace
 
 ExpirySweeper::Batch ExpirySweeper::plan(const std::vector<store::Row>& entries,
-                                         const StillTheirs& still_theirs) {
+                                         const VersionMatches& version_matches) {
   Batch batch;
   for (const auto& entry : entries) {
     batch.transaction.removals.push_back(entry.id);
     const auto decoded = decode_expiry_key(entry.id.key);
     if (!decoded) continue;
     const store::RowCondition condition{row_of(entry, *decoded), entry.version};
-    if (!still_theirs(condition)) continue;
+    if (!version_matches(condition)) continue;
     batch.transaction.conditions.push_back(condition);
     batch.transaction.removals.push_back(condition.id);
     ++batch.rows;
@@ -48,12 +49,12 @@
   auto batch = plan(entries, [](const store::RowCondition&) { return true; });
   auto result = co_await store_.transact(std::move(batch.transaction), kCallTimeout);
   if (result.status == StoreStatus::kConflict) {
-    const auto holds = [&rows = result.rows](const store::RowCondition& condition) {
+    const auto matches = [&rows = result.rows](const store::RowCondition& condition) {
       return std::any_of(rows.begin(), rows.end(), [&](const store::Row& row) {
-        return same(row.id, condition.id) && row.version == condition.version;
+        return same_row(row.id, condition.id) && row.version == condition.version;
       });
     };
-    batch = plan(entries, holds);
+    batch = plan(entries, matches);
     result = co_await store_.transact(std::move(batch.transaction), kCallTimeout);
   }
   if (result.status != StoreStatus::kDone) co_return std::nullopt;
@@ -69,8 +70,8 @@
     store::RangeRead range;
     range.table = kExpiryTable;
     range.part = part;
-    range.to_key = first_expiry_key(*now - kMarginMs);
-    range.limit = kRowsAtOnce;
+    range.to_key = first_expiry_key(*now - kClockMarginMs);
+    range.limit = kMaxRowsPerBatch;
     auto page = co_await store_.read(std::move(range), kCallTimeout);
     if (page.status != StoreStatus::kDone || page.rows.empty()) break;
     more = page.more;
--- a/src/ledger/expiry_sweeper.hpp
+++ b/src/ledger/expiry_sweeper.hpp
@@ -1,4 +1,4 @@
-/// @file Removes rows of the ledger whose time is over.
+/// @file Removes expired rows of the ledger.
 #pragma once
 
 #include <functional>
@@ -12,12 +12,13 @@
 
 namespace sailgate::ledger {
 
-/// Looks at parts drawn at random, in the rhythm of ledger/sweep_schedule.hpp. Several nodes may
-/// look at one: a row goes only while it has the version that its entry names. Not thread-safe.
+/// Sweeps randomly chosen partitions at the rate given by ledger/sweep_schedule.hpp. Several nodes
+/// may sweep the same partition: a row is removed only if it still has the version that its index
+/// entry names. Not thread-safe.
 class ExpirySweeper {
  public:
-  /// @param nodes how many nodes sweep. @param full whether the store refuses writes for want of
-  /// space.
+  /// @param nodes returns the number of nodes that sweep. @param full returns whether the store
+  /// refuses writes because it is full.
   ExpirySweeper(net::asio::io_context& context, store::TableStore& store,
                 const store::StoreClock& clock, observe::StructuredLog& log,
                 std::function<std::size_t()> nodes, std::function<bool()> full, std::uint64_t seed)
@@ -29,24 +30,26 @@
         full_(std::move(full)),
         random_(seed) {}
 
-  /// Sweeps for as long as the event loop runs.
+  /// Sweeps until the event loop stops.
   net::asio::awaitable<void> run();
-  /// Removes what has expired in one part. @return rows removed, entries of the index not counted.
+  /// Removes the expired rows of one partition. @return the number of removed rows, index entries
+  /// excluded.
   net::asio::awaitable<std::size_t> sweep_part(std::string part);
 
  private:
-  /// What one transaction removes.
+  /// The removals of one transaction.
   struct Batch {
     store::Transaction transaction;
     std::size_t rows = 0;
   };
 
-  /// Whether a row has the version that its entry names, as far as known.
-  using StillTheirs = std::function<bool(const store::RowCondition&)>;
+  /// Returns whether a row is known or assumed to have the version that its index entry names.
+  using VersionMatches = std::function<bool(const store::RowCondition&)>;
 
-  /// Entries of rows that were written again since go alone.
-  static Batch plan(const std::vector<store::Row>& entries, const StillTheirs& still_theirs);
-  /// @return rows removed; nullopt when the store did not take it.
+  /// Plans the removal of rows and their entries. If a row was rewritten, only the stale entry is
+  /// removed.
+  static Batch plan(const std::vector<store::Row>& entries, const VersionMatches& version_matches);
+  /// @return the number of removed rows; nullopt if the store did not perform the transaction.
   net::asio::awaitable<std::optional<std::size_t>> remove(std::vector<store::Row> entries);
   net::Millis pause() const;
 
--- a/src/ledger/program_ledger.hpp
+++ b/src/ledger/program_ledger.hpp
@@ -1,4 +1,4 @@
-/// @file What the table store keeps of programs: budgets and histories.
+/// @file The state of programs in the table store: escrow, budgets and turns.
 #pragma once
 
 #include "ledger/budget_ledger.hpp"
@@ -6,9 +6,9 @@
 
 namespace sailgate::ledger {
 
-/// Both share what is known of the store's answer times.
+/// The budget ledger and the turn ledger share one estimate of the store's latency.
 struct ProgramLedger {
-  /// @param holder identifies this process among all that ever ran.
+  /// @param holder identifies this process uniquely among all past and present processes.
   ProgramLedger(net::asio::io_context& context, store::TableStore& store,
                 const store::StoreClock& clock, observe::StructuredLog& log, std::int64_t holder)
       : escrow(context, store, clock, log, holder),
--- a/src/ledger/sweep_schedule.hpp
+++ b/src/ledger/sweep_schedule.hpp
@@ -1,4 +1,4 @@
-/// @file When the parts of the store are looked through for rows whose time is over.
+/// @file Rate at which the partitions of the store are swept for expired rows.
 #pragma once
 
 #include <cstddef>
@@ -8,28 +8,29 @@
 
 namespace sailgate::ledger {
 
-/// Every node looks at parts drawn at random, so slowly that all nodes together look at each part
-/// about once a cycle. Deterministic, no I/O.
+/// Each node sweeps randomly chosen partitions, at a rate at which all nodes together sweep each
+/// partition about once per cycle. Deterministic, performs no I/O.
 ///
-/// It begins with the process: what earlier processes wrote expires whoever is there, and a fleet
-/// whose processes all start again must not wait before it makes room. With a first look after
-/// 180 s a store of 400 MB was full after 82 s of a day, and stayed so.
+/// Sweeping starts when the process starts: rows written by earlier processes expire as well, and a
+/// fleet whose processes have all restarted must free space without delay. When the first sweep
+/// took place after 180 s, a store of 400 MB was full after 82 s of a day's load, and stayed full.
 class SweepSchedule {
  public:
-  /// Time between two parts that one node looks at.
-  /// @param full the store refuses writes for want of space.
+  /// Time between two sweeps by one node.
+  /// @param full the store refuses writes because it is full.
   static net::Millis pause(std::size_t nodes, std::uint64_t parts, bool full) {
-    const auto cycle = full ? kCycleWhileFull : kCycle;
+    const auto cycle = full ? kSweepCycleWhenFull : kSweepCycle;
     return cycle * static_cast<std::int64_t>(nodes) / static_cast<std::int64_t>(parts);
   }
 
  private:
-  /// All nodes together look at every part once in this time: 43 calls a second for 256 parts, and
-  /// rows stay about so much longer than their time.
-  static constexpr net::Millis kCycle{12'000};
-  /// Nothing is served before there is room: 256 reads a second and at most as many writes, an
-  /// eighth and a third of the least rates that a store has been given (2,000 and 800 a second).
-  static constexpr net::Millis kCycleWhileFull{1'000};
+  /// Time in which all nodes together sweep every partition once: 43 calls per second for 256
+  /// partitions. Rows stay in the store for about this long after they expire.
+  static constexpr net::Millis kSweepCycle{12'000};
+  /// Nothing can be served until space is freed. For 256 partitions this takes 256 reads per second
+  /// and at most as many writes: an eighth and a third of the lowest rate limits configured for a
+  /// store (2,000 reads and 800 writes per second).
+  static constexpr net::Millis kSweepCycleWhenFull{1'000};
 };
 
 }  // namespace sailgate::ledger
--- a/src/ledger/turn_cache.cpp
+++ b/src/ledger/turn_cache.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-/// Bookkeeping of one entry besides its texts.
-constexpr std::size_t kEntryOverhead = 256;
+/// Estimated memory use of an entry in addition to its texts.
+constexpr std::size_t kEntryOverheadBytes = 256;
 
 std::size_t footprint(const Turn& turn) {
-  return turn.input.size() + turn.output.size() + kEntryOverhead;
+  return turn.input.size() + turn.output.size() + kEntryOverheadBytes;
 }
 
 }  // namespace
--- a/src/ledger/turn_cache.hpp
+++ b/src/ledger/turn_cache.hpp
@@ -1,4 +1,5 @@
-/// @file Turns this node has seen lately, so that the next turn of a line needs no read.
+/// @file Cache of recent turns, so that the next turn of a chain usually needs no read from the
+/// store.
 #pragma once
 
 #include <deque>
@@ -10,13 +11,13 @@
 
 namespace sailgate::ledger {
 
-/// Bounded by bytes, oldest first out. Not thread-safe.
+/// Limited by size in bytes; evicts the oldest entries first. Not thread-safe.
 class TurnCache {
  public:
   explicit TurnCache(std::size_t byte_limit) : byte_limit_(byte_limit) {}
 
   void put(const TurnPointer& turn);
-  /// @return nullptr when the turn is not cached.
+  /// @return nullptr if the turn is not cached.
   TurnPointer find(const std::string& id) const;
   std::size_t bytes() const { return bytes_; }
 
--- a/src/ledger/turn_ledger.cpp
+++ b/src/ledger/turn_ledger.cpp
@@ -13,10 +13,10 @@
 
 constexpr const char* kTurnTable = "turns";
 constexpr std::size_t kTurnCacheBytes = std::size_t{24} << 20U;
-/// A row is kept for its retention and this part of it more. What comes later in a program needs
-/// the rows before it for as long as itself, so a program that takes no longer than this part
-/// (15 s of 60) never writes a row twice. Twice the retention would take, by reckoning, 46 in 100
-/// more of the store's space: rows stay for some 22 s more until they are removed.
+/// A row is kept for its retention plus a quarter of it. A row must be retained for as long as any
+/// later turn of its program. With the slack, a program that takes no longer than this quarter (15
+/// s of 60 s) never rewrites a row. Keeping rows for twice the retention would by calculation take
+/// 46% more space in the store: rows stay for about another 22 s until they are removed.
 constexpr std::int64_t kRetentionSlack = 4;
 
 }  // namespace
@@ -33,7 +33,7 @@
 net::asio::awaitable<void> TurnLedger::read_row(std::shared_ptr<RowReads> reads, std::size_t index,
                                                 std::string id, net::TimePoint deadline) {
   reads->found[index] = co_await rows_.find(kTurnTable, std::move(id), deadline);
-  if (--reads->under_way == 0) reads->ended.cancel();
+  if (--reads->pending == 0) reads->ended.cancel();
 }
 
 net::asio::awaitable<std::vector<store::RowFound>> TurnLedger::read_rows(
@@ -45,12 +45,12 @@
                         net::asio::detached);
   }
   net::Error ignored;
-  if (reads->under_way > 0) co_await reads->ended.async_wait(net::awaiting(ignored));
+  if (reads->pending > 0) co_await reads->ended.async_wait(net::awaiting(ignored));
   co_return std::move(reads->found);
 }
 
-std::vector<std::string> TurnLedger::unread_before(const wire::TurnRow& row,
-                                                   TurnPointer& known) const {
+std::vector<std::string> TurnLedger::uncached_ancestors(const wire::TurnRow& row,
+                                                        TurnPointer& known) const {
   auto before = row.ancestors;
   if (before.empty() && !row.earlier.empty()) before.push_back(row.earlier);
   for (auto id = before.begin(); id != before.end(); ++id) {
@@ -84,7 +84,7 @@
       }
       chain.rows.push_back(wire::decode<wire::TurnRow>(found.value));
     }
-    unread = chain.known == nullptr ? unread_before(chain.rows.back(), chain.known)
+    unread = chain.known == nullptr ? uncached_ancestors(chain.rows.back(), chain.known)
                                     : std::vector<std::string>{};
   }
   co_return chain;
@@ -103,7 +103,7 @@
 }
 
 TurnPointer TurnLedger::cache_chain(const wire::TurnRow& row, TurnPointer earlier) {
-  if (row.segments.empty()) throw std::invalid_argument("a turn's row has no segments");
+  if (row.segments.empty()) throw std::invalid_argument("turn row contains no segments");
   TurnPointer last = std::move(earlier);
   for (const auto& segment : row.segments) {
     auto cached = cache_.find(segment.turn);
@@ -133,8 +133,8 @@
   co_return stored;
 }
 
-net::asio::awaitable<bool> TurnLedger::extend_chain(TurnPointer turn, net::Millis retention,
-                                                    net::TimePoint deadline) {
+net::asio::awaitable<bool> TurnLedger::extend_ancestors(TurnPointer turn, net::Millis retention,
+                                                        net::TimePoint deadline) {
   const auto now = clock_.now(net::Clock::now());
   if (!now) co_return true;
   for (auto row = turn->previous; row != nullptr; row = row->previous) {
@@ -147,7 +147,7 @@
 
 net::asio::awaitable<bool> TurnLedger::record(TurnPointer turn, net::Millis retention,
                                               net::TimePoint deadline) {
-  bool durable = co_await extend_chain(turn, retention, deadline);
+  bool durable = co_await extend_ancestors(turn, retention, deadline);
   if (durable) durable = co_await store_row(turn, retention, deadline);
   if (durable) cache_.put(turn);
   co_return durable;
--- a/src/ledger/turn_ledger.hpp
+++ b/src/ledger/turn_ledger.hpp
@@ -1,4 +1,4 @@
-/// @file Finished turns of programs, kept in the table store.
+/// @file Stores and reads finished turns of programs in the table store.
 #pragma once
 
 #include <cstdint>
@@ -21,44 +21,45 @@
   TurnPointer turn;
 };
 
-/// Not thread-safe: belongs to the event loop. All waits end before the given deadline.
+/// Not thread-safe: use only on the event loop. All operations end before the given deadline.
 class TurnLedger {
  public:
-  /// @param latency what is known of the store's answer times; kept up here.
+  /// @param latency estimate of the store's latency; updated by this class.
   TurnLedger(net::asio::io_context& context, store::TableStore& store,
              const store::StoreClock& clock, store::LatencyEstimate& latency,
              observe::StructuredLog& log, std::uint64_t seed);
 
-  /// A finished turn with its whole chain.
+  /// Finds a finished turn together with its chain of predecessors.
   net::asio::awaitable<LookupResult> find(std::string id, net::TimePoint deadline);
-  /// A turn that needs no read; nullptr when there is none.
+  /// Returns a turn from the cache; nullptr if it is not cached.
   TurnPointer cached(const std::string& id) const { return cache_.find(id); }
-  /// Takes turns that another node knows to be durable. Cached ones are shared, not copied.
-  /// @return the last one. @throws std::invalid_argument when there are no segments.
+  /// Caches a chain of turns that are known to be durable. Turns that are already cached are
+  /// shared, not copied.
+  /// @return the last turn. @throws std::invalid_argument if the row has no segments.
   TurnPointer cache_chain(const wire::TurnRow& row, TurnPointer earlier);
 
-  /// Whether a call for a row may begin while earlier ones for it are still waited for.
+  /// Sets whether a call for a row may start while earlier calls for it are pending.
   void set_overlapping(bool overlapping) { rows_.set_overlapping(overlapping); }
 
-  /// Makes a finished turn durable, with its chain, for at least `retention`. @return whether it
-  /// is.
+  /// Stores a finished turn and its chain durably for at least `retention`. @return whether this
+  /// succeeded.
   net::asio::awaitable<bool> record(TurnPointer turn, net::Millis retention,
                                     net::TimePoint deadline);
 
  private:
-  /// Reads of several rows, side by side.
+  /// State of several concurrent row reads.
   struct RowReads {
     RowReads(net::asio::io_context& context, std::size_t count)
-        : ended(context), found(count), under_way(count) {}
-    net::asio::steady_timer ended;  ///< cancelled when the last one ends
+        : ended(context), found(count), pending(count) {}
+    net::asio::steady_timer ended;  ///< cancelled when the last read ends
     std::vector<store::RowFound> found;
-    std::size_t under_way;
+    std::size_t pending;
   };
-  /// Rows of a chain as they were read, newest first.
+  /// Rows of a chain in the order they were read, newest first.
   struct ChainRead {
     LookupOutcome outcome = LookupOutcome::kFound;
     std::vector<wire::TurnRow> rows;
-    TurnPointer known;  ///< what comes before the oldest row; nullptr: nothing
+    TurnPointer known;  ///< cached predecessor of the oldest row; nullptr if there is none
   };
 
   net::asio::awaitable<ChainRead> read_chain(std::string id, net::TimePoint deadline);
@@ -66,13 +67,13 @@
                                                                net::TimePoint deadline);
   net::asio::awaitable<void> read_row(std::shared_ptr<RowReads> reads, std::size_t index,
                                       std::string id, net::TimePoint deadline);
-  /// Predecessors that have to be read after a row, nearest first. @param known set to the first
-  /// one that needs no read.
-  std::vector<std::string> unread_before(const wire::TurnRow& row, TurnPointer& known) const;
-  /// Writes again the rows of a turn's predecessors where they would expire too soon.
-  net::asio::awaitable<bool> extend_chain(TurnPointer turn, net::Millis retention,
-                                          net::TimePoint deadline);
-  /// Writes a turn's own row.
+  /// Returns the ancestors of a row that must be read, nearest first. @param known set to the
+  /// nearest cached ancestor.
+  std::vector<std::string> uncached_ancestors(const wire::TurnRow& row, TurnPointer& known) const;
+  /// Rewrites the rows of a turn's ancestors that would expire before `retention` has passed.
+  net::asio::awaitable<bool> extend_ancestors(TurnPointer turn, net::Millis retention,
+                                              net::TimePoint deadline);
+  /// Writes the row of a single turn.
   net::asio::awaitable<bool> store_row(TurnPointer turn, net::Millis retention,
                                        net::TimePoint deadline);
 
--- a/src/ledger/turn_row.cpp
+++ b/src/ledger/turn_row.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Predecessors that a row lists: one more round of reads for each so many turns of a chain, and
-/// some 300 bytes of ids a row.
-constexpr std::size_t kListedAncestors = 16;
+/// Maximum number of ancestors listed in a row. A chain takes one more round of reads for each
+/// further group of this many turns, and a row takes about 300 bytes for the IDs.
+constexpr std::size_t kMaxListedAncestors = 16;
 
 wire::TurnSegment segment_of(const Turn& turn, std::int64_t expires_at) {
   wire::TurnSegment segment;
@@ -28,7 +28,7 @@
   row.earlier = turn.previous->id;
   std::vector<std::string> ancestors;
   for (const Turn* next = turn.previous.get();
-       next != nullptr && ancestors.size() < kListedAncestors; next = next->previous.get()) {
+       next != nullptr && ancestors.size() < kMaxListedAncestors; next = next->previous.get()) {
     ancestors.push_back(next->id);
   }
   row.ancestors = std::move(ancestors);
--- a/src/ledger/turn_row.hpp
+++ b/src/ledger/turn_row.hpp
@@ -1,4 +1,4 @@
-/// @file Turns as rows of the table store.
+/// @file Conversion of turns to rows of the table store.
 #pragma once
 
 #include <cstdint>
@@ -8,15 +8,16 @@
 
 namespace sailgate::ledger {
 
-/// Row of a turn: its own text and the ids of the nearest predecessors.
+/// Returns the row of a turn: its own texts and the IDs of its nearest ancestors.
 ///
-/// Each text is kept once. Rows that repeated up to 16 KB of their chain filled a store of 400 MB
-/// in 82 s under 415 turns a second (14.3 KB of first input, 4.6 turns a program; test
-/// store_space_test and a day of 92 s without faults), after which no turn could be kept.
-/// @param expires_at when the row expires, by the store's clock; 0: not known.
+/// Each text is stored only once. When rows repeated up to 16 KB of their chain, a store of 400 MB
+/// was full after 82 s at 415 turns per second (14.3 KB of first input, 4.6 turns per program;
+/// reproduced by store_space_test and in a 92 s run without faults), and no more turns could be
+/// stored.
+/// @param expires_at time of the store's clock at which the row expires; 0 if unknown.
 wire::TurnRow encode_turn(const Turn& turn, std::int64_t expires_at);
 
-/// Row of a turn with its whole chain, for messages between nodes.
+/// Returns a row that contains a turn and its whole chain, for messages between nodes.
 wire::TurnRow encode_chain(const Turn& turn);
 
 }  // namespace sailgate::ledger
