--- a/src/ledger/escrow_claims.cpp
+++ b/src/ledger/escrow_claims.cpp
@@ -243,7 +243,8 @@
   auto outcome = WriteOutcome::kNoResponse;
   while (outcome == WriteOutcome::kNoResponse && net::Clock::now() < deadline) {
     outcome = co_await write(writes, kStoreTimeout);
-    // A refusal comes at once: without a pause a stopping node asked as fast as it is answered.
+    // A refusal returns immediately: without a delay, a stopping node would send requests as fast
+    // as they are refused.
     if (outcome == WriteOutcome::kNoResponse)
       co_await net::sleep_for(context_, kHandOverRetryDelay);
   }
--- a/src/ledger/sweep_schedule.hpp
+++ b/src/ledger/sweep_schedule.hpp
@@ -13,7 +13,7 @@
 ///
 /// Sweeping starts when the process starts: rows written by earlier processes expire as well, and a
 /// fleet whose processes have all restarted must free space without delay. When the first sweep
-/// took place after 180 s, a store of 400 MB was full after 82 s of a day's load, and stayed full.
+/// took place after 180 s, a store of 400 MB was full after 82 s of load, and stayed full.
 class SweepSchedule {
  public:
   /// Time between two sweeps by one node.
--- a/tests/ledger/budget_account_test.cpp
+++ b/tests/ledger/budget_account_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::int64_t kBudget = 900;
 
-/// The rows in the store, and writes whose answers were lost and that may still be done.
+/// The stored rows, and writes whose responses were lost and that may still take effect.
 struct Store {
   struct Share {
     wire::BudgetRow row;
@@ -36,23 +36,23 @@
   }
 
   std::vector<Share> shares;
-  std::deque<Write> late;
+  std::deque<Write> delayed;
 };
 
-/// How a write to the store ends for the one who sent it.
-enum class Fate { kAnswered, kAnswerLost, kLate, kRefused };
+/// Outcome of a write to the store from the sender's point of view.
+enum class WriteResult { kAcknowledged, kResponseLost, kDelayed, kRefused };
 
-/// @return whether the sender was told that it was done.
+/// @return whether the sender learned that the write succeeded.
 bool send(Store& store, BudgetAccount& account, std::size_t index, const wire::BudgetRow& row,
-          Fate fate) {
+          WriteResult result) {
   const Store::Write write{index, account.version(index), row};
-  if (fate == Fate::kRefused) return false;
-  if (fate == Fate::kLate) {
-    store.late.push_back(write);
+  if (result == WriteResult::kRefused) return false;
+  if (result == WriteResult::kDelayed) {
+    store.delayed.push_back(write);
     return false;
   }
   const bool done = store.apply(write);
-  if (fate == Fate::kAnswerLost) return false;
+  if (result == WriteResult::kResponseLost) return false;
   const auto& share = store.shares[index];
   if (share.version == 0) {
     account.apply_missing_row(index);
@@ -74,7 +74,8 @@
   REQUIRE(account.reserve(100));
 }
 
-TEST_CASE("a grant leaves tokens for others while the budget is ample", "[ledger]") {
+TEST_CASE("a grant leaves tokens for other holders while enough of the budget remains",
+          "[ledger]") {
   BudgetAccount account(1);
   const auto row = account.plan_grant(0, 100, 10'000);
   REQUIRE(row->granted.at(1) <= 5000);
@@ -90,7 +91,7 @@
   REQUIRE_FALSE(account.plan_grant(0, 101, kBudget));
 }
 
-TEST_CASE("what a turn did not use can be reserved again", "[ledger]") {
+TEST_CASE("tokens that a turn did not use can be reserved again", "[ledger]") {
   BudgetAccount account(1);
   account.apply_stored_row(0, *account.plan_grant(0, kBudget, kBudget), 1);
   REQUIRE(account.reserve(kBudget));
@@ -99,7 +100,7 @@
   REQUIRE(account.available() == kBudget - 300);
 }
 
-TEST_CASE("tokens that are given back are out of use before the write", "[ledger]") {
+TEST_CASE("released tokens cannot be used once the release has started", "[ledger]") {
   BudgetAccount account(1);
   account.apply_stored_row(0, *account.plan_grant(0, 400, kBudget), 1);
   REQUIRE(account.reserve(100));
@@ -120,7 +121,8 @@
   REQUIRE_FALSE(account.plan_grant(0, 401, kBudget));
 }
 
-TEST_CASE("a retired account's tokens count as spent, and the rest is free", "[ledger]") {
+TEST_CASE("tokens used by a retired account count as spent and the others are released",
+          "[ledger]") {
   BudgetAccount account(1);
   account.apply_stored_row(0, *account.plan_grant(0, 400, kBudget), 1);
   REQUIRE(account.reserve(100));
@@ -136,7 +138,7 @@
   REQUIRE_FALSE(again.plan_grant(0, kBudget - 59, kBudget));
 }
 
-TEST_CASE("a settlement that is told twice does not free tokens", "[ledger]") {
+TEST_CASE("settling a reservation twice does not free tokens", "[ledger]") {
   BudgetAccount account(1);
   account.apply_stored_row(0, *account.plan_grant(0, kBudget, kBudget), 1);
   REQUIRE(account.reserve(100));
@@ -145,7 +147,7 @@
   REQUIRE(account.available() == kBudget - 100);
 }
 
-TEST_CASE("a turn may draw on both shares, and no more than the budget", "[ledger]") {
+TEST_CASE("a turn may draw on both shares but not exceed the budget", "[ledger]") {
   BudgetAccount account(1, 2);
   const auto first = account.plan_grant(0, 600, kBudget);
   REQUIRE(first->granted.at(1) == 450);
@@ -167,7 +169,7 @@
   REQUIRE(account.available() == kOdd);
 }
 
-TEST_CASE("what several shares hold idle is given back from each", "[ledger]") {
+TEST_CASE("unused tokens are released from every share", "[ledger]") {
   BudgetAccount account(1, 2);
   account.apply_stored_row(0, *account.plan_grant(0, kBudget, kBudget), 1);
   account.apply_stored_row(1, *account.plan_grant(1, kBudget, kBudget), 2);
@@ -210,8 +212,8 @@
       const auto who = *rc::gen::inRange<std::size_t>(0, 3);
       const auto share = *rc::gen::inRange<std::size_t>(0, count);
       auto& account = accounts[who];
-      const auto fate =
-          static_cast<Fate>(*rc::gen::weightedElement<int>({{6, 0}, {1, 1}, {1, 2}, {1, 3}}));
+      const auto result = static_cast<WriteResult>(
+          *rc::gen::weightedElement<int>({{6, 0}, {1, 1}, {1, 2}, {1, 3}}));
       switch (*rc::gen::inRange(0, 7)) {
         case 0:
         case 1: {
@@ -219,7 +221,7 @@
           if (account.reserve(tokens)) {
             reservations[who].push_back(tokens);
           } else if (const auto row = account.plan_grant(share, tokens, kBudget)) {
-            send(store, account, share, *row, fate);
+            send(store, account, share, *row, result);
           }
           break;
         }
@@ -234,28 +236,28 @@
         }
         case 3:
           if (const auto row = account.begin_release(share)) {
-            send(store, account, share, *row, fate);
+            send(store, account, share, *row, result);
           }
           break;
         case 4:
-          if (!store.late.empty()) {
-            store.apply(store.late.front());
-            store.late.pop_front();
+          if (!store.delayed.empty()) {
+            store.apply(store.delayed.front());
+            store.delayed.pop_front();
           }
           break;
         case 6: {
-          // The program is forgotten, and comes back to the same process.
+          // The program is evicted from memory and later used again by the same process.
           bool retired = true;
           for (std::size_t each = 0; each < count; ++each) {
             const auto row = account.begin_retirement(each);
-            if (row) retired = send(store, account, each, *row, fate) && retired;
+            if (row) retired = send(store, account, each, *row, result) && retired;
           }
           if (retired && account.idle()) account = BudgetAccount(holders[who], count);
           break;
         }
         case 5:
           if (*rc::gen::inRange(0, 5) != 0) break;
-          // The process dies: its open reservations count as handed out whole.
+          // The process dies: its open reservations count as fully spent.
           for (const auto tokens : reservations[who]) spent += tokens;
           reservations[who].clear();
           holders[who] = next_holder;
--- a/tests/ledger/escrow_claims_test.cpp
+++ b/tests/ledger/escrow_claims_test.cpp
@@ -17,19 +17,19 @@
 namespace {
 
 constexpr std::int64_t kBudget = 900;
-constexpr std::int64_t kTurn = 300;
-/// What an owner may spend of such a budget without a row.
+constexpr std::int64_t kTurnTokens = 300;
+/// Tokens of this budget that an owner may spend without a budget row.
 constexpr std::int64_t kEscrow = kBudget / 2;
 
-/// One process; the test says which shards it should claim and who lives.
+/// One process; the test sets which shards it should claim and which processes are alive.
 struct Process {
   Process(net::asio::io_context& context, MemoryTable& table, observe::StructuredLog& log,
-          std::int64_t holder, const std::set<std::int64_t>& living)
+          std::int64_t holder, const std::set<std::int64_t>& live_processes)
       : ledger(context, table, clock, log, holder) {
     clock.observe(1000, net::Clock::now());
     ledger::EscrowPeers peers;
     peers.unowned = [this] { return unowned; };
-    peers.is_alive = [&living](std::int64_t id) { return living.count(id) > 0; };
+    peers.is_alive = [&live_processes](std::int64_t id) { return live_processes.count(id) > 0; };
     ledger.escrow.enable(std::move(peers));
   }
 
@@ -42,18 +42,18 @@
   net::asio::io_context context;
   observe::StructuredLog log{::open("/dev/null", O_WRONLY)};
   MemoryTable table{context};
-  std::set<std::int64_t> living;
+  std::set<std::int64_t> live_processes;
   const std::string program = "program";
   const int shard = ledger::escrow_shard_of(program);
-  Process first{context, table, log, 1, living};
-  Process second{context, table, log, 2, living};
+  Process first{context, table, log, 1, live_processes};
+  Process second{context, table, log, 2, live_processes};
 
   void finish(net::asio::awaitable<void> task) {
     bool done = false;
     net::asio::co_spawn(context, std::move(task), [&](std::exception_ptr) { done = true; });
     test::run_until(context, [&] { return done; });
   }
-  /// One round in which the process finds its shards without an owner.
+  /// Runs one iteration of claims in which the process finds that the shards have no owner.
   void claim(Process& process, std::vector<int> shards) {
     process.unowned = std::move(shards);
     finish(process.ledger.escrow.claim_and_renew());
@@ -71,42 +71,46 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "programs begin and go on while the store is away", "[escrow]") {
+TEST_CASE_METHOD(Fixture, "programs start and continue while the store is unavailable",
+                 "[escrow]") {
   claim(first, {shard});
   const int writes = table.writes();
   table.set_mode(MemoryTable::Mode::kRefuses);
-  REQUIRE(reserve(first, kTurn) == ReserveOutcome::kReserved);
-  first.ledger.budgets.settle(program, kTurn, kEscrow - kTurn);
-  REQUIRE(reserve(first, kTurn) == ReserveOutcome::kReserved);
+  REQUIRE(reserve(first, kTurnTokens) == ReserveOutcome::kReserved);
+  first.ledger.budgets.settle(program, kTurnTokens, kEscrow - kTurnTokens);
+  REQUIRE(reserve(first, kTurnTokens) == ReserveOutcome::kReserved);
   REQUIRE(table.writes() == writes);
   REQUIRE(reserve(first, 1) == ReserveOutcome::kUnavailable);
-  REQUIRE(reserve(second, kTurn) == ReserveOutcome::kUnavailable);
+  REQUIRE(reserve(second, kTurnTokens) == ReserveOutcome::kUnavailable);
 }
 
-TEST_CASE_METHOD(Fixture, "the owner spends the whole budget and no more", "[escrow]") {
+TEST_CASE_METHOD(Fixture, "the owner can spend the whole budget and no more", "[escrow]") {
   claim(first, {shard});
-  REQUIRE(reserve(first, kTurn) == ReserveOutcome::kReserved);
-  REQUIRE(reserve(first, kTurn) == ReserveOutcome::kReserved);
-  REQUIRE(reserve(first, kTurn) == ReserveOutcome::kReserved);
+  REQUIRE(reserve(first, kTurnTokens) == ReserveOutcome::kReserved);
+  REQUIRE(reserve(first, kTurnTokens) == ReserveOutcome::kReserved);
+  REQUIRE(reserve(first, kTurnTokens) == ReserveOutcome::kReserved);
   REQUIRE(reserve(first, 1) == ReserveOutcome::kExhausted);
 }
 
-TEST_CASE_METHOD(Fixture, "an owner and the others never exceed the budget and one turn",
-                 "[escrow]") {
+TEST_CASE_METHOD(
+    Fixture, "an owner and other processes together never exceed the budget by more than one turn",
+    "[escrow]") {
   claim(first, {shard});
   std::int64_t reserved = 0;
   for (int turn = 0; turn < 8; ++turn) {
-    if (reserve(first, kTurn) == ReserveOutcome::kReserved) reserved += kTurn;
-    if (reserve(second, kTurn) == ReserveOutcome::kReserved) reserved += kTurn;
+    if (reserve(first, kTurnTokens) == ReserveOutcome::kReserved) reserved += kTurnTokens;
+    if (reserve(second, kTurnTokens) == ReserveOutcome::kReserved) reserved += kTurnTokens;
   }
   REQUIRE(reserved >= kBudget);
-  REQUIRE(reserved <= kBudget + kTurn);
+  REQUIRE(reserved <= kBudget + kTurnTokens);
 }
 
-TEST_CASE_METHOD(Fixture, "a shard that was handed over goes on from what was spent", "[escrow]") {
+TEST_CASE_METHOD(Fixture,
+                 "the next owner of a shard that was handed over accounts for what was spent",
+                 "[escrow]") {
   claim(first, {shard});
-  REQUIRE(reserve(first, kTurn) == ReserveOutcome::kReserved);
-  first.ledger.budgets.settle(program, kTurn, 200);
+  REQUIRE(reserve(first, kTurnTokens) == ReserveOutcome::kReserved);
+  first.ledger.budgets.settle(program, kTurnTokens, 200);
   stop(first);
   REQUIRE_FALSE(first.ledger.escrow.owns(program));
   claim(second, {shard});
@@ -115,8 +119,8 @@
   REQUIRE(reserve(second, 1) == ReserveOutcome::kUnavailable);
 }
 
-TEST_CASE_METHOD(Fixture, "spending is handed over through two owners", "[escrow]") {
-  Process third{context, table, log, 3, living};
+TEST_CASE_METHOD(Fixture, "spending records survive two handovers", "[escrow]") {
+  Process third{context, table, log, 3, live_processes};
   claim(first, {shard});
   REQUIRE(reserve(first, 200) == ReserveOutcome::kReserved);
   stop(first);
@@ -127,30 +131,30 @@
   stop(second);
   claim(third, {shard});
   table.set_mode(MemoryTable::Mode::kRefuses);
-  // Of the escrow of 333 tokens for a turn of 200, nothing like a turn is left.
+  // The escrow for a turn of 200 tokens is 333 tokens; what remains of it is too small for a turn.
   REQUIRE(reserve(third, 200) == ReserveOutcome::kUnavailable);
 }
 
-TEST_CASE_METHOD(Fixture, "an owner that was lost leaves no escrow to its successor", "[escrow]") {
+TEST_CASE_METHOD(Fixture, "the successor of a lost owner has no escrow", "[escrow]") {
   claim(first, {shard});
   claim(second, {shard});
   REQUIRE(second.ledger.escrow.owns(program));
   REQUIRE_FALSE(second.ledger.escrow.may_spend(program));
   REQUIRE(second.ledger.escrow.bare_shards() ==
           std::vector<std::int16_t>{static_cast<std::int16_t>(shard)});
-  // What the rows hold goes on.
-  REQUIRE(reserve(second, kTurn) == ReserveOutcome::kReserved);
+  // The tokens in the budget rows can still be used.
+  REQUIRE(reserve(second, kTurnTokens) == ReserveOutcome::kReserved);
 }
 
-TEST_CASE_METHOD(Fixture, "a shard whose owner lives is left to it", "[escrow]") {
-  living.insert(1);
+TEST_CASE_METHOD(Fixture, "a shard whose owner is alive is not claimed", "[escrow]") {
+  live_processes.insert(1);
   claim(first, {shard});
   claim(second, {shard});
   REQUIRE_FALSE(second.ledger.escrow.owns(program));
   REQUIRE(first.ledger.escrow.may_spend(program));
 }
 
-TEST_CASE_METHOD(Fixture, "a claim without an answer is not spent on", "[escrow]") {
+TEST_CASE_METHOD(Fixture, "a claim whose write got no response gives no escrow", "[escrow]") {
   table.set_mode(MemoryTable::Mode::kLosesAnswers);
   claim(first, {shard});
   REQUIRE_FALSE(first.ledger.escrow.owns(program));
@@ -159,19 +163,19 @@
   REQUIRE(first.ledger.escrow.may_spend(program));
 }
 
-TEST_CASE_METHOD(Fixture, "of two processes that claim at once one gets the shard", "[escrow]") {
+TEST_CASE_METHOD(Fixture, "only one of two concurrent claims of a shard succeeds", "[escrow]") {
   table.set_mode(MemoryTable::Mode::kLate);
   claim(first, {shard});
   table.set_mode(MemoryTable::Mode::kUp);
   claim(second, {shard});
   table.apply_late();
   REQUIRE(second.ledger.escrow.may_spend(program));
-  living.insert(2);
+  live_processes.insert(2);
   claim(first, {shard});
   REQUIRE_FALSE(first.ledger.escrow.owns(program));
 }
 
-TEST_CASE_METHOD(Fixture, "a process that stops claims nothing any more", "[escrow]") {
+TEST_CASE_METHOD(Fixture, "a process that is stopping claims no shards", "[escrow]") {
   claim(first, {shard});
   stop(first);
   claim(first, {shard});
--- a/tests/ledger/expiry_sweeper_test.cpp
+++ b/tests/ledger/expiry_sweeper_test.cpp
@@ -18,13 +18,13 @@
 
 namespace {
 
-constexpr std::int64_t kStart = 1'000'000;
+constexpr std::int64_t kStartMs = 1'000'000;
 constexpr net::Millis kRetention{60'000};
-/// A row is removed this long after it was written for the last time, at the latest; the store's
-/// clock runs on while a test does.
-constexpr std::int64_t kGone = 2 * 60'000 + 60'000;
-/// No program lives so long after the last write of its budget.
-constexpr std::int64_t kBudgetLife = 30 * 60'000;
+/// A row is removed at most this long after its last write; the store's clock advances while a test
+/// runs.
+constexpr std::int64_t kRemovedAfterMs = 2 * 60'000 + 60'000;
+/// Longer than any program lasts after the last write of its budget.
+constexpr std::int64_t kBudgetRowTtlMs = 30 * 60'000;
 
 struct Fixture {
   net::asio::io_context context;
@@ -35,7 +35,7 @@
   ExpirySweeper sweeper{
       context, table, clock, log, [] { return std::size_t{1}; }, [] { return false; }, 1};
 
-  Fixture() { set_time(kStart); }
+  Fixture() { set_time(kStartMs); }
   void set_time(std::int64_t now) {
     table.set_now(now);
     clock.observe(now, net::Clock::now());
@@ -44,7 +44,7 @@
     const auto deadline = net::Clock::now() + net::Millis(300);
     REQUIRE(run(context, writer.turns.record(turn, kRetention, deadline)));
   }
-  /// A node that has nothing in memory looks a turn up.
+  /// Looks up a turn from a node that has nothing in memory.
   LookupOutcome find(const std::string& id) {
     ProgramLedger reader(context, table, clock, log, 2);
     return run(context, reader.turns.find(id, net::Clock::now() + net::Millis(300))).outcome;
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-TEST_CASE("keys of the index are in order of time and can be read back", "[ledger]") {
+TEST_CASE("index keys sort by expiry time and can be decoded", "[ledger]") {
   const ledger::ExpiryEntry entry{1234, "turns", "a/b"};
   const auto key = ledger::encode_expiry_key(entry);
   REQUIRE(key < ledger::first_expiry_key(1235));
@@ -82,50 +82,50 @@
 
 TEST_CASE_METHOD(Fixture, "a turn is kept for its retention and removed afterwards", "[ledger]") {
   record(turn("1", nullptr));
-  set_time(kStart + kRetention.count());
+  set_time(kStartMs + kRetention.count());
   REQUIRE(sweep() == 0);
   REQUIRE(find("1") == LookupOutcome::kFound);
-  set_time(kStart + kGone);
+  set_time(kStartMs + kRemovedAfterMs);
   REQUIRE(sweep() == 1);
   REQUIRE(find("1") == LookupOutcome::kAbsent);
   REQUIRE(table.size() == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "a chain is kept as long as its newest turn", "[ledger]") {
-  // Turns of half a row each: every one refers to the row of an earlier one.
+TEST_CASE_METHOD(Fixture, "a chain is kept for as long as its newest turn", "[ledger]") {
+  // Turns half the size of a row: each one refers to the row of an earlier turn.
   ledger::TurnPointer last;
   for (int i = 0; i < 12; ++i) {
-    set_time(kStart + i * kRetention.count() / 2);
+    set_time(kStartMs + i * kRetention.count() / 2);
     last = turn(std::to_string(i), last, 9000);
     record(last);
     sweep();
     CAPTURE(i);
     REQUIRE(find(std::to_string(i)) == LookupOutcome::kFound);
   }
-  const auto end = kStart + 11 * kRetention.count() / 2;
+  const auto end = kStartMs + 11 * kRetention.count() / 2;
   set_time(end + kRetention.count());
   sweep();
   REQUIRE(find("11") == LookupOutcome::kFound);
-  set_time(end + kGone);
+  set_time(end + kRemovedAfterMs);
   sweep();
   REQUIRE(table.size() == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "a row that is written again while a sweep runs is not removed",
-                 "[ledger]") {
+TEST_CASE_METHOD(Fixture, "a row that is rewritten during a sweep is not removed", "[ledger]") {
   const auto one = turn("1", nullptr);
   record(one);
-  set_time(kStart + kGone);
+  set_time(kStartMs + kRemovedAfterMs);
   record(one);
   REQUIRE(sweep() == 0);
   REQUIRE(find("1") == LookupOutcome::kFound);
-  REQUIRE(table.size() == 2);  // the row and its newest entry
+  REQUIRE(table.size() == 2);  // the row and its newest index entry
 }
 
-TEST_CASE_METHOD(Fixture, "many expired rows of one part go in several transactions", "[ledger]") {
+TEST_CASE_METHOD(Fixture, "many expired rows of one partition are removed in several transactions",
+                 "[ledger]") {
   constexpr int kTurns = 2000;
   for (int i = 0; i < kTurns; ++i) record(turn("t" + std::to_string(i), nullptr));
-  set_time(kStart + kGone);
+  set_time(kStartMs + kRemovedAfterMs);
   REQUIRE(sweep() == kTurns);
   REQUIRE(table.size() == 0);
 }
@@ -134,27 +134,27 @@
   const auto deadline = net::Clock::now() + net::Millis(300);
   REQUIRE(run(context, writer.budgets.reserve("program", 100, 1000, deadline)) ==
           ledger::ReserveOutcome::kReserved);
-  set_time(kStart + kBudgetLife);
+  set_time(kStartMs + kBudgetRowTtlMs);
   REQUIRE(sweep() == 0);
-  set_time(kStart + kBudgetLife + kGone);
+  set_time(kStartMs + kBudgetRowTtlMs + kRemovedAfterMs);
   REQUIRE(sweep() == 1);
   REQUIRE(table.size() == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "the budget of a program that a node still serves is kept", "[ledger]") {
+TEST_CASE_METHOD(Fixture, "the budget of a program in use is kept", "[ledger]") {
   const auto deadline = net::Clock::now() + net::Millis(300);
   REQUIRE(run(context, writer.budgets.reserve("program", 100, 1000, deadline)) ==
           ledger::ReserveOutcome::kReserved);
-  set_time(kStart + kBudgetLife / 2);
+  set_time(kStartMs + kBudgetRowTtlMs / 2);
   writer.budgets.evict_idle(net::Clock::now() + std::chrono::hours(1));
   test::run_until(context, [&] { return context.poll() == 0; });
-  set_time(kStart + kBudgetLife + kGone);
+  set_time(kStartMs + kBudgetRowTtlMs + kRemovedAfterMs);
   REQUIRE(sweep() == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "without the store nothing is removed", "[ledger]") {
+TEST_CASE_METHOD(Fixture, "nothing is removed while the store is unavailable", "[ledger]") {
   record(turn("1", nullptr));
-  set_time(kStart + kGone);
+  set_time(kStartMs + kRemovedAfterMs);
   table.set_mode(test::MemoryTable::Mode::kRefuses);
   REQUIRE(sweep() == 0);
   table.set_mode(test::MemoryTable::Mode::kLosesAnswers);
--- a/tests/ledger/program_ledger_test.cpp
+++ b/tests/ledger/program_ledger_test.cpp
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "turns within a grant need no call to the store", "[ledger]") {
+TEST_CASE_METHOD(Fixture, "turns covered by a grant make no store calls", "[ledger]") {
   REQUIRE(reserve(first, 100) == ReserveOutcome::kReserved);
   const int writes = table.writes();
   table.set_mode(MemoryTable::Mode::kRefuses);
@@ -68,7 +68,8 @@
   REQUIRE(reserve(second, 1) == ReserveOutcome::kExhausted);
 }
 
-TEST_CASE_METHOD(Fixture, "exhausted is said from a fresh row only", "[ledger]") {
+TEST_CASE_METHOD(Fixture, "a budget is reported as exhausted only after its rows were read again",
+                 "[ledger]") {
   REQUIRE(reserve(first, 900) == ReserveOutcome::kReserved);
   REQUIRE(reserve(second, 200) == ReserveOutcome::kExhausted);
   first.budgets.settle("program", 900, 100);
@@ -77,14 +78,15 @@
   REQUIRE(reserve(second, 200) == ReserveOutcome::kReserved);
 }
 
-TEST_CASE_METHOD(Fixture, "without the store nobody can tell", "[ledger]") {
+TEST_CASE_METHOD(Fixture, "reservations are unavailable without the store", "[ledger]") {
   table.set_mode(MemoryTable::Mode::kRefuses);
   REQUIRE(reserve(first, 100) == ReserveOutcome::kUnavailable);
   REQUIRE(find(first, "any").outcome == LookupOutcome::kUnavailable);
   REQUIRE_FALSE(record(first, turn("1", nullptr)));
 }
 
-TEST_CASE_METHOD(Fixture, "a grant whose answer was lost is neither lost nor doubled", "[ledger]") {
+TEST_CASE_METHOD(Fixture, "a grant whose response was lost is neither lost nor counted twice",
+                 "[ledger]") {
   table.set_mode(MemoryTable::Mode::kLosesAnswers);
   REQUIRE(reserve(first, 400, net::Millis(60)) == ReserveOutcome::kUnavailable);
   table.set_mode(MemoryTable::Mode::kUp);
@@ -93,7 +95,7 @@
   REQUIRE(reserve(second, 1) == ReserveOutcome::kExhausted);
 }
 
-TEST_CASE_METHOD(Fixture, "a grant that takes effect late is seen", "[ledger]") {
+TEST_CASE_METHOD(Fixture, "a grant that takes effect after its timeout is detected", "[ledger]") {
   table.set_mode(MemoryTable::Mode::kLate);
   REQUIRE(reserve(first, 400, net::Millis(20)) == ReserveOutcome::kUnavailable);
   table.set_mode(MemoryTable::Mode::kUp);
@@ -103,7 +105,7 @@
   REQUIRE(reserve(second, 400) == ReserveOutcome::kExhausted);
 }
 
-TEST_CASE_METHOD(Fixture, "a program begins while the part of its first row is out of service",
+TEST_CASE_METHOD(Fixture, "a program starts while the partition of its first row is unavailable",
                  "[ledger]") {
   table.put_out_of_service({store::candidate_parts("program")[0]});
   REQUIRE(reserve(first, 100) == ReserveOutcome::kReserved);
@@ -113,7 +115,7 @@
   REQUIRE(reserve(second, 800) == ReserveOutcome::kExhausted);
 }
 
-TEST_CASE_METHOD(Fixture, "with a part out of service nobody says that a budget is exhausted",
+TEST_CASE_METHOD(Fixture, "a budget is not reported as exhausted while a partition is unavailable",
                  "[ledger]") {
   table.put_out_of_service({store::candidate_parts("program")[0]});
   REQUIRE(reserve(first, 901) == ReserveOutcome::kUnavailable);
@@ -121,7 +123,7 @@
   REQUIRE(reserve(first, 901) == ReserveOutcome::kReserved);
 }
 
-TEST_CASE_METHOD(Fixture, "tokens of a grant whose answer was lost can be given back", "[ledger]") {
+TEST_CASE_METHOD(Fixture, "tokens of a grant whose response was lost can be released", "[ledger]") {
   table.set_mode(MemoryTable::Mode::kLosesAnswers);
   REQUIRE(reserve(first, 400, net::Millis(300)) == ReserveOutcome::kUnavailable);
   table.set_mode(MemoryTable::Mode::kUp);
@@ -131,7 +133,8 @@
   REQUIRE(reserve(second, 900) == ReserveOutcome::kReserved);
 }
 
-TEST_CASE_METHOD(Fixture, "a holder without idle tokens says so", "[ledger]") {
+TEST_CASE_METHOD(Fixture, "a holder without unused tokens reports that nothing was released",
+                 "[ledger]") {
   REQUIRE(reserve(first, 1000) == ReserveOutcome::kReserved);
   const auto result =
       run(context, first.budgets.release("program", net::Clock::now() + net::Millis(200)));
@@ -139,7 +142,8 @@
   REQUIRE(result.complete);
 }
 
-TEST_CASE_METHOD(Fixture, "a node that stops gives the tokens of many programs back at once",
+TEST_CASE_METHOD(Fixture,
+                 "a node that shuts down releases the tokens of many programs concurrently",
                  "[ledger]") {
   constexpr int kPrograms = 40;
   const auto deadline = net::Clock::now() + net::Millis(60'000);
@@ -174,7 +178,7 @@
   REQUIRE(ledger::assemble_prompt(found.turn, "x") == "in1out1\nin2out2\nx");
 }
 
-TEST_CASE_METHOD(Fixture, "a long chain is read over several rows", "[ledger]") {
+TEST_CASE_METHOD(Fixture, "a long chain is read from several rows", "[ledger]") {
   ledger::TurnPointer last;
   for (int i = 0; i < 9; ++i) {
     const std::string text(5000, static_cast<char>('a' + i));
@@ -197,8 +201,9 @@
   REQUIRE(table.reads() == 40);
 }
 
-TEST_CASE_METHOD(Fixture, "rows that repeat their chain are read as before", "[ledger]") {
-  // As nodes of the version before wrote them.
+TEST_CASE_METHOD(Fixture, "rows of the earlier format, which repeat their chain, can still be read",
+                 "[ledger]") {
+  // Rows in the format written by nodes of the previous version.
   const auto one = turn("1", nullptr);
   const auto two = turn("2", one);
   const auto three = turn("3", two);
@@ -212,7 +217,7 @@
   put(*three, row);
   REQUIRE(ledger::assemble_prompt(find(second, "3").turn, "x") ==
           ledger::assemble_prompt(three, "x"));
-  // A turn of this version that goes on from them.
+  // A turn in the current format that continues from them.
   const auto four = turn("4", find(first, "3").turn);
   REQUIRE(record(first, four));
   ProgramLedger third{context, table, clock, log, 3};
@@ -221,12 +226,13 @@
           ledger::assemble_prompt(four, "x"));
 }
 
-TEST_CASE_METHOD(Fixture, "a turn that nobody finished is absent", "[ledger]") {
+TEST_CASE_METHOD(Fixture, "a turn that was never recorded is absent", "[ledger]") {
   REQUIRE(record(first, turn("2", nullptr)));
   REQUIRE(find(second, "1").outcome == LookupOutcome::kAbsent);
 }
 
-TEST_CASE_METHOD(Fixture, "a turn whose answer was lost is written again until it is sure",
+TEST_CASE_METHOD(Fixture,
+                 "a turn whose write got no response is written again until it is confirmed",
                  "[ledger]") {
   table.set_mode(MemoryTable::Mode::kLosesAnswers);
   REQUIRE_FALSE(record(first, turn("1", nullptr), net::Millis(60)));
@@ -234,22 +240,22 @@
   REQUIRE(record(first, turn("1", nullptr)));
 }
 
-TEST_CASE_METHOD(Fixture, "an idle program is forgotten and its tokens are given back",
-                 "[ledger]") {
+TEST_CASE_METHOD(Fixture, "an idle program is evicted and its tokens are released", "[ledger]") {
   REQUIRE(reserve(first, 600) == ReserveOutcome::kReserved);
   first.budgets.evict_idle(net::Clock::now() + std::chrono::hours(1));
   test::run_until(context, [&] { return context.poll() == 0; });
-  REQUIRE(first.budgets.programs() == 1);  // a turn is under way
+  REQUIRE(first.budgets.programs() == 1);  // a turn is in progress
   first.budgets.settle("program", 600, 100);
   first.budgets.evict_idle(net::Clock::now() + std::chrono::hours(2));
   test::run_until(context, [&] { return first.budgets.programs() == 0; });
   REQUIRE(reserve(second, 900) == ReserveOutcome::kReserved);
   REQUIRE(reserve(second, 1) == ReserveOutcome::kExhausted);
-  // What it had spent counts on.
+  // The tokens it spent still count after the eviction.
   REQUIRE(reserve(first, 1) == ReserveOutcome::kExhausted);
 }
 
-TEST_CASE_METHOD(Fixture, "without the store an idle program is kept", "[ledger]") {
+TEST_CASE_METHOD(Fixture, "an idle program is not evicted while the store is unavailable",
+                 "[ledger]") {
   REQUIRE(reserve(first, 600) == ReserveOutcome::kReserved);
   first.budgets.settle("program", 600, 100);
   table.set_mode(MemoryTable::Mode::kRefuses);
@@ -262,7 +268,8 @@
   REQUIRE(first.budgets.programs() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "turns that ask side by side read an exhausted budget once", "[ledger]") {
+TEST_CASE_METHOD(Fixture, "concurrent requests do not read a budget that was just found exhausted",
+                 "[ledger]") {
   table.set_write_time(net::Millis(30));
   const auto deadline = net::Clock::now() + net::Millis(500);
   std::vector<ReserveOutcome> ends;
@@ -270,7 +277,7 @@
     net::asio::co_spawn(context, first.budgets.reserve("program", 600, kBudget, deadline),
                         [&](std::exception_ptr, ReserveOutcome end) { ends.push_back(end); });
   }
-  // The first one writes its grant; the others wait for it.
+  // The first request writes its grant while the others wait for it.
   test::run_until(context, [&] { return table.most_writes_at_once() == 1; });
   context.poll();
   first.budgets.mark_exhausted("program", 600);
--- a/tests/ledger/store_rates_test.cpp
+++ b/tests/ledger/store_rates_test.cpp
@@ -1,13 +1,13 @@
-/// @file What a node asks of a store that refuses calls beyond its rates.
+/// @file Calls that a node makes to a store that refuses calls above its rate limits.
 ///
-/// What users saw: after a loss of all nodes under two and a half times the load, turns that went
-/// on from kept ones were refused 22 times in 15 s, until their callers gave up. Order of events:
-/// the fleet asked for some more writes than the store takes in a second. Each refused write was
-/// followed by one in the next part at once, four for a turn's row and three for a budget in each
-/// round; so the store went on refusing for as long as callers came back. Evidence: 1,300 to 1,470
-/// lines a second of writes refused for the rate, from the last second of the load on to the end of
-/// the day, 16 s later; 2,365 of 2,579 refusals of turns for want of reserved tokens; the store
-/// itself was well.
+/// Guards against retries that keep a store overloaded. After a loss of all nodes at two and a half
+/// times the normal load, turns that continued from stored ones were refused 22 times within 15 s,
+/// until their callers gave up. The fleet sent slightly more writes than the store accepts per
+/// second. Each refused write was retried in the next partition at once (four writes for a turn's
+/// row, three for a budget in each round), so the store continued to refuse writes for as long as
+/// callers retried: 1,300 to 1,470 log lines per second of writes refused for the rate, from the
+/// last second of the load until the end of the run 16 s later. Of 2,579 refused turns, 2,365 were
+/// refused because no tokens could be reserved. The store itself worked correctly.
 #include <fcntl.h>
 
 #include <catch2/catch.hpp>
@@ -26,10 +26,10 @@
 namespace {
 
 constexpr net::Millis kRetention{60'000};
-constexpr net::Millis kTime{400};
-/// One call for each pause: pauses of 15 ms and more that double, in the time above, and a last try
-/// at the deadline.
-constexpr int kMostCalls = 7;
+constexpr net::Millis kTimeout{400};
+/// One call per retry delay: delays start at 15 ms or more and double within the timeout above, and
+/// there is one last attempt at the deadline.
+constexpr int kMaxCalls = 7;
 
 struct Fixture {
   net::asio::io_context context;
@@ -39,26 +39,28 @@
   ProgramLedger ledger{context, table, clock, log, 1};
 
   Fixture() { table.set_mode(MemoryTable::Mode::kThrottles); }
-  net::TimePoint deadline() const { return net::Clock::now() + kTime; }
+  net::TimePoint deadline() const { return net::Clock::now() + kTimeout; }
 };
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a turn's row is written once a pause while the store is over its rate",
+TEST_CASE_METHOD(Fixture,
+                 "a turn's row is written once per retry delay while the store throttles writes",
                  "[ledger][rates]") {
   auto turn = std::make_shared<const Turn>(Turn{"turn", "input", "output\n", nullptr});
   REQUIRE_FALSE(run(context, ledger.turns.record(turn, kRetention, deadline())));
-  REQUIRE(table.writes() <= kMostCalls);
+  REQUIRE(table.writes() <= kMaxCalls);
 }
 
-TEST_CASE_METHOD(Fixture, "a budget is asked for once a pause while the store is over its rate",
+TEST_CASE_METHOD(Fixture,
+                 "a budget row is written once per retry delay while the store throttles writes",
                  "[ledger][rates]") {
   REQUIRE(run(context, ledger.budgets.reserve("program", 100, 1000, deadline())) ==
           ReserveOutcome::kUnavailable);
-  REQUIRE(table.writes() <= kMostCalls);
+  REQUIRE(table.writes() <= kMaxCalls);
 }
 
-TEST_CASE_METHOD(Fixture, "a turn's row is kept as soon as the store takes writes again",
+TEST_CASE_METHOD(Fixture, "a turn's row is stored as soon as the store accepts writes again",
                  "[ledger][rates]") {
   auto turn = std::make_shared<const Turn>(Turn{"turn", "input", "output\n", nullptr});
   net::asio::steady_timer timer(context, net::Millis(100));
--- a/tests/ledger/store_space_test.cpp
+++ b/tests/ledger/store_space_test.cpp
@@ -1,16 +1,18 @@
-/// @file The space that turns and budgets take in the store, over minutes and an hour of load.
+/// @file Space that turns and budgets take in the store over minutes and up to an hour of load.
 ///
-/// What users saw: a fleet of 84 nodes served all its programs for some 80 s (a third more under a
-/// smaller load), then nobody, for good. When all its processes were killed and started again, it
-/// served for six seconds and stopped once more.
-/// Order of events: each turn's row repeated up to 16 KB of its chain, was kept for twice the time
-/// that is owed, and no row was looked at for removal in the first 180 s of any process; after
-/// some 39,000 turns the store had its 400 MB and refused every write. Reads went on. Turns ran at
-/// engines and could not be kept; each refusal was tried again in other parts and through peers,
-/// until the store refused calls over its rates as well. A restart removed nothing.
-/// Evidence: from one second on all writes failed, as many as the store takes in a second, while
-/// reads were answered; the first call over the rates came two seconds later. A day without any
-/// fault ended alike, and its refusals' status was "full". These tests play the load by itself.
+/// Guards against a store that fills up and stays full. A fleet of 84 nodes served all programs for
+/// about 80 s (a third longer at a lower load) and then none at all. After a restart of all
+/// processes it served for six seconds and stopped again. Each turn's row repeated up to 16 KB of
+/// its chain, rows were kept for twice the retention, and no process removed any rows in its first
+/// 180 s. After about 39,000 turns the store reached its capacity of 400 MB and refused all writes,
+/// while reads still worked. Turns ran on engines but could not be stored. Each refused write was
+/// retried in other partitions and through peers, until the store also refused calls above its rate
+/// limits. A restart freed no space.
+///
+/// The logs showed that from one second on all writes failed, as many per second as the store
+/// accepts, while reads succeeded; the first call above the rate limits came two seconds later. A
+/// run without any faults ended the same way, with status "full" on the refused writes. These tests
+/// reproduce the load alone.
 #include <fcntl.h>
 
 #include <algorithm>
@@ -37,29 +39,31 @@
 
 namespace {
 
-/// The platform's store keeps 400 MB. Values are sent to it in base64, and may well be kept so.
-constexpr std::size_t kStoreSpace = 300'000'000;
+/// The platform's store holds 400 MB. Values are sent to it in base64 and may be stored in that
+/// form, which leaves 300 MB.
+constexpr std::size_t kStoreCapacityBytes = 300'000'000;
 constexpr net::Millis kRetention{60'000};
-constexpr std::int64_t kSecond = 1000;
+constexpr std::int64_t kSecondMs = 1000;
 
-/// The load of lamta-field-grown: 84 nodes, 415 turns a second.
+/// The load of lamta-field-grown: 84 nodes, 415 turns per second.
 struct Load {
-  std::size_t scale = 20;  ///< one of so many programs and bytes of space is played
+  std::size_t scale = 20;  ///< the simulation runs 1/scale of the programs and of the capacity
   std::int64_t seconds = 180;
-  double turns_a_second = 415;
+  double turns_per_second = 415;
   std::size_t first_input = 14'300;  ///< a shared prompt and the caller's own text
   std::size_t later_input = 1'300;
   std::size_t output = 1'450;  ///< six events of 240 bytes
-  std::size_t turns = 5;       ///< of a program
-  double burst = 2.5;          ///< times the load, for 9 s of each 60
+  std::size_t turns = 5;       ///< per program
+  double burst = 2.5;          ///< load factor for 9 s of every 60 s
 };
 
-/// A fleet in virtual time: nodes that write turns and budgets, each with its sweeper.
+/// A fleet in simulated time: nodes that write turns and budgets, and a sweeper that does the work
+/// of all nodes.
 class SpaceFleet {
  public:
   explicit SpaceFleet(const Load& load) : load_(load), random_(1) {
-    table_.set_capacity(kStoreSpace / load.scale);
-    // A fleet of 84 nodes sweeps as often, whichever of its nodes the test plays.
+    table_.set_capacity(kStoreCapacityBytes / load.scale);
+    // The sweeper runs at the rate of a fleet of 84 nodes, however many nodes the test simulates.
     for (std::int64_t node = 1; node <= kNodes; ++node) {
       ledgers_.push_back(std::make_unique<ProgramLedger>(context_, table_, clock_, log_, node));
     }
@@ -67,15 +71,15 @@
         context_, table_, clock_, log_, [] { return std::size_t{1}; }, [] { return false; }, 7);
   }
 
-  void play() {
+  void run_load() {
     double due = 0;
     for (std::int64_t second = 0; second < load_.seconds; ++second) {
-      set_time(kStart + second * kSecond);
+      set_time(kStartMs + second * kSecondMs);
       const bool burst = second % 60 >= 50 && second % 60 < 59;
-      due += load_.turns_a_second * (burst ? load_.burst : 1) / static_cast<double>(load_.scale);
-      for (; due >= 1; due -= 1) play_turn();
+      due += load_.turns_per_second * (burst ? load_.burst : 1) / static_cast<double>(load_.scale);
+      for (; due >= 1; due -= 1) run_turn();
       sweep();
-      most_bytes_ = std::max(most_bytes_, table_.bytes());
+      peak_bytes_ = std::max(peak_bytes_, table_.bytes());
       bytes_after_.push_back(table_.bytes());
       table_.forget_history();
     }
@@ -83,8 +87,8 @@
 
   int turns() const { return turns_; }
   int lost() const { return lost_; }
-  double most_space() const { return share(most_bytes_); }
-  /// Seconds of load.
+  double peak_space() const { return share(peak_bytes_); }
+  /// Share of the capacity in use after this many seconds of load.
   double space_after(std::size_t seconds) const { return share(bytes_after_.at(seconds)); }
   double space_now() const { return share(table_.bytes()); }
 
@@ -96,12 +100,12 @@
   };
 
   static constexpr std::int64_t kNodes = 4;
-  static constexpr std::int64_t kStart = 1'000'000;
+  static constexpr std::int64_t kStartMs = 1'000'000;
   static constexpr std::int64_t kBudget = 6'000;
   static constexpr std::int64_t kTurnTokens = 588;
 
   double share(std::size_t bytes) const {
-    return static_cast<double>(bytes) * static_cast<double>(load_.scale) / kStoreSpace;
+    return static_cast<double>(bytes) * static_cast<double>(load_.scale) / kStoreCapacityBytes;
   }
 
   void set_time(std::int64_t now) {
@@ -115,14 +119,16 @@
     return bytes;
   }
 
-  void play_turn() {
-    // Each program has a turn about once a second.
-    const auto most = std::max(1.0, load_.turns_a_second / static_cast<double>(load_.scale));
-    if (static_cast<double>(under_way_.size()) < most)
-      under_way_.push_back({"p" + std::to_string(begun_++), {}});
-    auto program = std::move(under_way_.front());
-    under_way_.pop_front();
-    auto& ledger = *ledgers_[static_cast<std::size_t>(begun_ + turns_) % ledgers_.size()];
+  void run_turn() {
+    // Each program runs about one turn per second.
+    const auto max_active =
+        std::max(1.0, load_.turns_per_second / static_cast<double>(load_.scale));
+    if (static_cast<double>(active_programs_.size()) < max_active)
+      active_programs_.push_back({"p" + std::to_string(programs_started_++), {}});
+    auto program = std::move(active_programs_.front());
+    active_programs_.pop_front();
+    auto& ledger =
+        *ledgers_[static_cast<std::size_t>(programs_started_ + turns_) % ledgers_.size()];
     const auto deadline = net::Clock::now() + net::Millis(20);
     const auto reserved =
         run(context_, ledger.budgets.reserve(program.id, kTurnTokens, kBudget, deadline));
@@ -133,17 +139,17 @@
     const auto id = program.id + "/" + std::to_string(program.turns);
     auto turn =
         std::make_shared<const Turn>(Turn{id, text(input), text(load_.output), program.last});
-    const bool kept = run(context_, ledger.turns.record(turn, kRetention, deadline));
+    const bool stored = run(context_, ledger.turns.record(turn, kRetention, deadline));
     ++turns_;
-    if (!kept) ++lost_;
-    program.last = kept ? std::move(turn) : program.last;
-    if (++program.turns < load_.turns) under_way_.push_back(std::move(program));
+    if (!stored) ++lost_;
+    program.last = stored ? std::move(turn) : program.last;
+    if (++program.turns < load_.turns) active_programs_.push_back(std::move(program));
   }
 
-  /// What all nodes of a fleet sweep within a second.
+  /// Performs the sweeps of all nodes of a fleet within one second.
   void sweep() {
     const auto pause = ledger::SweepSchedule::pause(1, store::part_count(), false);
-    sweeps_due_ += static_cast<double>(kSecond) / static_cast<double>(pause.count());
+    sweeps_due_ += static_cast<double>(kSecondMs) / static_cast<double>(pause.count());
     for (; sweeps_due_ >= 1; sweeps_due_ -= 1) {
       run(context_, sweeper_->sweep_part(store::part_name(random_.below(store::part_count()))));
     }
@@ -157,11 +163,11 @@
   store::StoreClock clock_;
   std::vector<std::unique_ptr<ProgramLedger>> ledgers_;
   std::unique_ptr<ExpirySweeper> sweeper_;
-  std::deque<Program> under_way_;
-  std::size_t most_bytes_ = 0;
-  std::vector<std::size_t> bytes_after_;  ///< each second
+  std::deque<Program> active_programs_;
+  std::size_t peak_bytes_ = 0;
+  std::vector<std::size_t> bytes_after_;  ///< one entry per second
   double sweeps_due_ = 0;
-  int begun_ = 0;
+  int programs_started_ = 0;
   int turns_ = 0;
   int lost_ = 0;
 };
@@ -170,19 +176,19 @@
 
 TEST_CASE("the store keeps every turn of three minutes of load and of bursts", "[space]") {
   SpaceFleet fleet({});
-  fleet.play();
-  INFO("most of the space " << fleet.most_space() << ", turns " << fleet.turns());
+  fleet.run_load();
+  INFO("peak share of the capacity " << fleet.peak_space() << ", turns " << fleet.turns());
   REQUIRE(fleet.lost() == 0);
-  REQUIRE(fleet.most_space() < 1);
+  REQUIRE(fleet.peak_space() < 1);
 }
 
 TEST_CASE("what three minutes of load keep does not grow in the last of them", "[space]") {
   Load load;
   load.burst = 1;
   SpaceFleet fleet(load);
-  fleet.play();
-  INFO("space after two minutes " << fleet.space_after(120) << ", at the end "
-                                  << fleet.space_now());
+  fleet.run_load();
+  INFO("share of the capacity after two minutes " << fleet.space_after(120) << ", at the end "
+                                                  << fleet.space_now());
   REQUIRE(fleet.lost() == 0);
   REQUIRE(fleet.space_now() < fleet.space_after(120) * 1.1);
 }
@@ -193,8 +199,9 @@
   load.seconds = 3'600;
   load.burst = 1;
   SpaceFleet fleet(load);
-  fleet.play();
-  INFO("space halfway " << fleet.space_after(1'800) << ", at the end " << fleet.space_now());
+  fleet.run_load();
+  INFO("share of the capacity halfway " << fleet.space_after(1'800) << ", at the end "
+                                        << fleet.space_now());
   REQUIRE(fleet.lost() == 0);
   REQUIRE(fleet.space_now() < fleet.space_after(1'800) * 1.1);
 }
--- a/tests/ledger/turn_test.cpp
+++ b/tests/ledger/turn_test.cpp
@@ -18,14 +18,14 @@
 
 }  // namespace
 
-TEST_CASE("a prompt is the chain oldest first and then the new input", "[ledger]") {
+TEST_CASE("a prompt consists of the chain, oldest turn first, and the new input", "[ledger]") {
   const auto first = turn("1", nullptr);
   const auto second = turn("2", first);
   REQUIRE(ledger::assemble_prompt(second, "new") == "iii1o1\niii2o2\nnew");
   REQUIRE(ledger::assemble_prompt(nullptr, "new") == "new");
 }
 
-TEST_CASE("a row holds its turn alone and lists the nearest ones before it", "[ledger]") {
+TEST_CASE("a row contains only its own turn and lists the nearest ancestors", "[ledger]") {
   TurnPointer last;
   for (int i = 0; i < 20; ++i) last = turn(std::to_string(i), last, 6000);
   const auto row = ledger::encode_turn(*last, 17);
@@ -38,14 +38,14 @@
   REQUIRE(row.ancestors.back() == "3");
 }
 
-TEST_CASE("a first turn has nothing before it", "[ledger]") {
+TEST_CASE("a first turn has no ancestors", "[ledger]") {
   const auto row = ledger::encode_turn(*turn("big", nullptr, 40'000), 0);
   REQUIRE(row.segments.size() == 1);
   REQUIRE(row.earlier.empty());
   REQUIRE(row.ancestors.empty());
 }
 
-TEST_CASE("a message between nodes holds the whole chain", "[ledger]") {
+TEST_CASE("a message between nodes contains the whole chain", "[ledger]") {
   TurnPointer last;
   for (int i = 0; i < 6; ++i) last = turn(std::to_string(i), last, 6000);
   const auto row = ledger::encode_chain(*last);
@@ -54,7 +54,7 @@
   REQUIRE(row.earlier.empty());
 }
 
-TEST_CASE("the cache gives up its oldest turns beyond its bound", "[ledger]") {
+TEST_CASE("the cache evicts its oldest turns when it exceeds its limit", "[ledger]") {
   ledger::TurnCache cache(5000);
   for (int i = 0; i < 20; ++i) cache.put(turn(std::to_string(i), nullptr, 500));
   REQUIRE(cache.bytes() <= 5000);
