--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -8,21 +8,22 @@
 
 /// A request is not tried with less than this share of the mean time of first turns left: turns
 /// differ in length, and hardly one of them takes less than half of the mean.
-constexpr double kLeastShareOfMeanTime = 0.5;
+constexpr double kMinShareOfMeanTime = 0.5;
 
-bool ends_too_late(const ProgramRequest& request) {
-  const auto needed = static_cast<double>(request.time_needed.count()) * kLeastShareOfMeanTime;
+bool misses_deadline(const ProgramRequest& request) {
+  const auto needed = static_cast<double>(request.time_needed.count()) * kMinShareOfMeanTime;
   return static_cast<double>(request.time_left.count()) < needed;
 }
 
 /// A program of this tenant would be one above the level.
-bool above_share(const BegunByTenant& begun, const ProgramRequest& request, Decision& decision) {
-  const auto own = begun.find(request.tenant);
-  decision.begun = own == begun.end() ? 0 : own->second;
-  const std::size_t others = begun.size() - (own == begun.end() ? 0 : 1);
+bool exceeds_fair_share(const ProgramStartsByTenant& starts, const ProgramRequest& request,
+                        Decision& decision) {
+  const auto entry = starts.find(request.tenant);
+  decision.tenant_starts = entry == starts.end() ? 0 : entry->second;
+  const std::size_t others = starts.size() - (entry == starts.end() ? 0 : 1);
   if (others == 0) return false;
-  decision.level = fair_level(begun, room_at(begun, decision.shortage));
-  return decision.begun >= decision.level;
+  decision.level = fair_level(starts, allowed_starts(starts, decision.shortage));
+  return decision.tenant_starts >= decision.level;
 }
 
 }  // namespace
@@ -43,18 +44,18 @@
   return "none";
 }
 
-Decision decide(const ServiceLoad& service, const BegunByTenant& begun,
+Decision decide(const ServiceLoad& service, const ProgramStartsByTenant& starts,
                 const ProgramRequest& request) {
   Decision decision;
   decision.shortage = shortage(service.load, request.rank);
-  if (request.under_way || decision.shortage <= 0) return decision;
-  if (!may_begin(service.load, 0)) {
+  if (request.program_started || decision.shortage <= 0) return decision;
+  if (!may_start(service.load, 0)) {
     decision.refusal = Refusal::kNoRoom;
-  } else if (!may_begin(service.load, request.rank)) {
+  } else if (!may_start(service.load, request.rank)) {
     decision.refusal = Refusal::kRank;
-  } else if (above_share(begun, request, decision)) {
+  } else if (exceeds_fair_share(starts, request, decision)) {
     decision.refusal = Refusal::kFairShare;
-  } else if (ends_too_late(request)) {
+  } else if (misses_deadline(request)) {
     decision.refusal = Refusal::kTimeLeft;
   }
   return decision;
--- a/src/admission/admission.hpp
+++ b/src/admission/admission.hpp
@@ -11,11 +11,11 @@
 
 /// A request that may be the first of its program.
 struct ProgramRequest {
-  bool under_way = false;      ///< the program has begun: its work would be lost
-  int rank = 0;                ///< 0 is the most urgent
-  std::int32_t tenant = 0;     ///< cluster::tenant_key()
-  net::Millis time_left{0};    ///< until the caller gives up
-  net::Millis time_needed{0};  ///< what first turns took of late; 0: not known
+  bool program_started = false;  ///< the program has begun: its work would be lost
+  int rank = 0;                  ///< 0 is the most urgent
+  std::int32_t tenant = 0;       ///< cluster::tenant_key()
+  net::Millis time_left{0};      ///< until the caller gives up
+  net::Millis time_needed{0};    ///< what first turns took of late; 0: not known
 };
 
 /// Why a request was refused, in the order in which reasons count.
@@ -33,10 +33,11 @@
 /// The decision with what it was made from, for the log.
 struct Decision {
   Refusal refusal = Refusal::kNone;
-  double shortage = 0;  ///< 0: room for everybody of the rank, 1: for nobody
-  int begun = 0;        ///< of the tenant, of late
-  double level = 0;     ///< fair share of each tenant in that time; 0 where it was not needed
-  double unheard = 0;   ///< programs that others are taken to have begun since they were heard of
+  double shortage = 0;    ///< 0: room for everybody of the rank, 1: for nobody
+  int tenant_starts = 0;  ///< of the tenant, of late
+  double level = 0;       ///< fair share of each tenant in that time; 0 where it was not needed
+  double unreported_starts =
+      0;  ///< programs that others are taken to have begun since they were heard of
 
   bool admitted() const { return refusal == Refusal::kNone; }
 };
@@ -47,7 +48,7 @@
 /// - Within a rank, a tenant that had its fair share is refused before those that did not. One
 ///   group of callers alone, as where there are no tenants, has nobody to share with.
 /// - Who cannot be answered in the time left is refused at once rather than at its deadline.
-Decision decide(const ServiceLoad& service, const BegunByTenant& begun,
+Decision decide(const ServiceLoad& service, const ProgramStartsByTenant& starts,
                 const ProgramRequest& request);
 
 }  // namespace sailgate::admission
--- a/src/admission/fair_share.cpp
+++ b/src/admission/fair_share.cpp
@@ -5,23 +5,23 @@
 
 namespace sailgate::admission {
 
-double fair_level(const BegunByTenant& begun, double room) {
+double fair_level(const ProgramStartsByTenant& starts, double room) {
   std::vector<int> counts;
-  counts.reserve(begun.size());
-  for (const auto& [tenant, count] : begun) counts.push_back(count);
+  counts.reserve(starts.size());
+  for (const auto& [tenant, count] : starts) counts.push_back(count);
   std::sort(counts.begin(), counts.end());
-  double left = room;
-  for (std::size_t place = 0; place < counts.size(); ++place) {
-    const double level = left / static_cast<double>(counts.size() - place);
-    if (level < counts[place]) return level;
-    left -= counts[place];
+  double remaining = room;
+  for (std::size_t index = 0; index < counts.size(); ++index) {
+    const double level = remaining / static_cast<double>(counts.size() - index);
+    if (level < counts[index]) return level;
+    remaining -= counts[index];
   }
   return counts.empty() ? 0 : counts.back();
 }
 
-double room_at(const BegunByTenant& begun, double shortage) {
+double allowed_starts(const ProgramStartsByTenant& starts, double shortage) {
   double sum = 0;
-  for (const auto& [tenant, count] : begun) sum += count;
+  for (const auto& [tenant, count] : starts) sum += count;
   return sum * (1 - shortage);
 }
 
--- a/src/admission/program_admission.cpp
+++ b/src/admission/program_admission.cpp
@@ -11,27 +11,28 @@
 /// Span over which programs count against their tenant's share: several times the age of what nodes
 /// hear of each other (up to 0.4 s), so that shares don't swing with the news, and short enough
 /// that a tenant is held back for seconds only after it sent too much.
-constexpr net::Millis kShareSpan{3000};
+constexpr net::Millis kFairShareWindow{3000};
 /// Tenants that a beacon tells of: about 8 bytes each of a datagram of at most 8,192, beside other
 /// figures. Those with the most programs come first, since shares hold back nobody else.
-constexpr std::size_t kMostTold = 200;
+constexpr std::size_t kMaxReportedTenants = 200;
 /// Nobody is told to come back before nodes have taken over newer loads, which they do ten times a
 /// second. Who comes back soon can still end in time: at three times the usual work for 6 s 71 of
 /// 100 programs did, 68 with 400 ms and 63 with 800 ms, 59 to 61 with 800 to 1,200 ms by chance
 /// (12 nodes in virtual time).
-constexpr net::Millis kFirstReturn{100};
+constexpr net::Millis kMinRetryDelay{100};
 /// Callers heed a time to come back of up to this part of the time they have left.
-constexpr int kReturnShare = 3;
-constexpr net::Millis kShortestReturn{50};
+constexpr int kMaxRetryDelayDivisor = 3;
+constexpr net::Millis kRetryDelayFloor{50};
 /// Weight of one more first turn in the mean of their times: the mean follows some ten turns.
-constexpr double kTimeWeight = 0.1;
+constexpr double kMeanTimeSmoothing = 0.1;
 constexpr double kMillisPerSecond = 1000;
 
 }  // namespace
 
-void ProgramAdmission::hear(BegunByTenant begun, std::size_t nodes, net::TimePoint heard_at) {
-  heard_ = std::move(begun);
-  nodes_ = std::max<std::size_t>(nodes, 1);
+void ProgramAdmission::hear(ProgramStartsByTenant starts, std::size_t nodes,
+                            net::TimePoint heard_at) {
+  peer_starts_ = std::move(starts);
+  node_count_ = std::max<std::size_t>(nodes, 1);
   heard_at_ = heard_at;
 }
 
@@ -40,64 +41,65 @@
   return std::chrono::duration_cast<net::Millis>(now - heard_at_);
 }
 
-BegunByTenant ProgramAdmission::own(net::TimePoint now) {
-  BegunByTenant begun;
-  for (auto entry = own_.begin(); entry != own_.end();) {
-    const int count = entry->second.within(now, kShareSpan);
-    if (count > 0) begun[entry->first] = count;
-    entry = count > 0 ? std::next(entry) : own_.erase(entry);
+ProgramStartsByTenant ProgramAdmission::own_starts(net::TimePoint now) {
+  ProgramStartsByTenant starts;
+  for (auto entry = own_starts_.begin(); entry != own_starts_.end();) {
+    const int count = entry->second.within(now, kFairShareWindow);
+    if (count > 0) starts[entry->first] = count;
+    entry = count > 0 ? std::next(entry) : own_starts_.erase(entry);
   }
-  return begun;
+  return starts;
 }
 
-double ProgramAdmission::begins_unheard_of(net::TimePoint now) {
+double ProgramAdmission::estimated_unreported_starts(net::TimePoint now) {
   double recent = 0;
   double programs = 0;
-  for (auto& [tenant, begun] : own_) {
-    recent += begun.within(now, kNewsAge);
-    programs += begun.within(now, kShareSpan);
+  for (auto& [tenant, starts] : own_starts_) {
+    recent += starts.within(now, kMaxPeerReportAge);
+    programs += starts.within(now, kFairShareWindow);
   }
-  constexpr double kNewsPart =
-      static_cast<double>(kNewsAge.count()) / static_cast<double>(kShareSpan.count());
-  return unheard_begins(recent, programs * kNewsPart, nodes_ - 1);
+  constexpr double kReportAgeFraction = static_cast<double>(kMaxPeerReportAge.count()) /
+                                        static_cast<double>(kFairShareWindow.count());
+  return estimate_unreported_starts(recent, programs * kReportAgeFraction, node_count_ - 1);
 }
 
 Decision ProgramAdmission::admit(const ServiceLoad& service, const ProgramRequest& request,
                                  net::TimePoint now) {
-  auto begun = own(now);
-  for (const auto& [tenant, count] : heard_) begun[tenant] += count;
+  auto starts = own_starts(now);
+  for (const auto& [tenant, count] : peer_starts_) starts[tenant] += count;
   auto estimated = service;
-  const double unheard = begins_unheard_of(now);
-  if (service.slots > 0) estimated.load += unheard / service.slots;
-  auto decision = decide(estimated, begun, request);
-  decision.unheard = unheard;
-  if (decision.admitted() && !request.under_way) {
-    own_.try_emplace(request.tenant, kShareSpan).first->second.add(now);
+  const double unreported_starts = estimated_unreported_starts(now);
+  if (service.slots > 0) estimated.load += unreported_starts / service.slots;
+  auto decision = decide(estimated, starts, request);
+  decision.unreported_starts = unreported_starts;
+  if (decision.admitted() && !request.program_started) {
+    own_starts_.try_emplace(request.tenant, kFairShareWindow).first->second.add(now);
   }
   return decision;
 }
 
-double ProgramAdmission::begins_per_s(net::TimePoint now) {
+double ProgramAdmission::starts_per_s(net::TimePoint now) {
   double programs = 0;
-  for (const auto& [tenant, count] : own(now)) programs += count;
-  for (const auto& [tenant, count] : heard_) programs += count;
-  return programs * kMillisPerSecond / static_cast<double>(kShareSpan.count());
+  for (const auto& [tenant, count] : own_starts(now)) programs += count;
+  for (const auto& [tenant, count] : peer_starts_) programs += count;
+  return programs * kMillisPerSecond / static_cast<double>(kFairShareWindow.count());
 }
 
-net::Millis ProgramAdmission::return_time(const std::string& service, const ProgramRequest& request,
+net::Millis ProgramAdmission::retry_delay(const std::string& service, const ProgramRequest& request,
                                           net::TimePoint now) {
-  ReturnPace pace;
-  pace.begins_per_s = begins_per_s(now);
-  pace.nodes = nodes_;
-  pace.first = kFirstReturn;
-  pace.longest = std::max(request.time_left / kReturnShare, kShortestReturn);
-  return returns_.try_emplace(service, phase_).first->second.place(request.rank, pace, now);
+  RetryPacing pacing;
+  pacing.starts_per_s = starts_per_s(now);
+  pacing.node_count = node_count_;
+  pacing.min_delay = kMinRetryDelay;
+  pacing.max_delay = std::max(request.time_left / kMaxRetryDelayDivisor, kRetryDelayFloor);
+  return retry_schedules_.try_emplace(service, phase_)
+      .first->second.next_retry_delay(request.rank, pacing, now);
 }
 
-void ProgramAdmission::note_first_turn(const std::string& service, net::Millis time) {
+void ProgramAdmission::record_first_turn(const std::string& service, net::Millis time) {
   const auto millis = static_cast<double>(time.count());
   auto& mean = first_turn_millis_.try_emplace(service, millis).first->second;
-  mean += kTimeWeight * (millis - mean);
+  mean += kMeanTimeSmoothing * (millis - mean);
 }
 
 net::Millis ProgramAdmission::first_turn_time(const std::string& service) const {
@@ -106,13 +108,14 @@
   return net::Millis(static_cast<std::int64_t>(mean->second));
 }
 
-BegunByTenant ProgramAdmission::told(net::TimePoint now) {
-  auto begun = own(now);
-  while (begun.size() > kMostTold) {
-    begun.erase(std::min_element(begun.begin(), begun.end(),
-                                 [](const auto& a, const auto& b) { return a.second < b.second; }));
+ProgramStartsByTenant ProgramAdmission::told(net::TimePoint now) {
+  auto starts = own_starts(now);
+  while (starts.size() > kMaxReportedTenants) {
+    starts.erase(std::min_element(starts.begin(), starts.end(), [](const auto& a, const auto& b) {
+      return a.second < b.second;
+    }));
   }
-  return begun;
+  return starts;
 }
 
 }  // namespace sailgate::admission
--- a/src/admission/program_admission.hpp
+++ b/src/admission/program_admission.hpp
@@ -15,40 +15,40 @@
 /// thread-safe: belongs to the event loop.
 class ProgramAdmission {
  public:
-  /// @param phase of this node among all, in [0, 1); see ReturnSchedule.
+  /// @param phase of this node among all, in [0, 1); see RetrySchedule.
   explicit ProgramAdmission(double phase) : phase_(phase) {}
 
   /// Takes over what the other nodes let begin of late. @param nodes heard of, this one among them.
   /// @param heard_at when some other node was heard last; zero: none yet.
-  void hear(BegunByTenant begun, std::size_t nodes, net::TimePoint heard_at);
+  void hear(ProgramStartsByTenant starts, std::size_t nodes, net::TimePoint heard_at);
   /// Age of what was heard last.
   net::Millis age(net::TimePoint now) const;
 
   /// Decides on a request for a service; a program that is let begin is counted.
   Decision admit(const ServiceLoad& service, const ProgramRequest& request, net::TimePoint now);
   /// Time to come back for a request that was just refused.
-  net::Millis return_time(const std::string& service, const ProgramRequest& request,
+  net::Millis retry_delay(const std::string& service, const ProgramRequest& request,
                           net::TimePoint now);
   /// A first turn was answered whole in this time.
-  void note_first_turn(const std::string& service, net::Millis time);
+  void record_first_turn(const std::string& service, net::Millis time);
   /// Time that first turns took of late; 0: not known.
   net::Millis first_turn_time(const std::string& service) const;
 
   /// What this node let begin of late, for its beacons.
-  BegunByTenant told(net::TimePoint now);
+  ProgramStartsByTenant told(net::TimePoint now);
 
  private:
-  BegunByTenant own(net::TimePoint now);
-  double begins_unheard_of(net::TimePoint now);
-  double begins_per_s(net::TimePoint now);
+  ProgramStartsByTenant own_starts(net::TimePoint now);
+  double estimated_unreported_starts(net::TimePoint now);
+  double starts_per_s(net::TimePoint now);
 
   double phase_;
-  std::unordered_map<std::int32_t, quota::UsageWindow> own_;  ///< by tenant
-  BegunByTenant heard_;
-  std::size_t nodes_ = 1;
+  std::unordered_map<std::int32_t, quota::UsageWindow> own_starts_;  ///< by tenant
+  ProgramStartsByTenant peer_starts_;
+  std::size_t node_count_ = 1;
   net::TimePoint heard_at_{};
-  std::unordered_map<std::string, ReturnSchedule> returns_;    ///< by service
-  std::unordered_map<std::string, double> first_turn_millis_;  ///< mean of late, by service
+  std::unordered_map<std::string, RetrySchedule> retry_schedules_;  ///< by service
+  std::unordered_map<std::string, double> first_turn_millis_;       ///< mean of late, by service
 };
 
 }  // namespace sailgate::admission
--- a/src/admission/return_schedule.cpp
+++ b/src/admission/return_schedule.cpp
@@ -9,25 +9,28 @@
 constexpr double kMillisPerSecond = 1000;
 
 /// Time between two places of one node.
-net::Millis spacing(const ReturnPace& pace) {
-  if (pace.begins_per_s <= 0) return pace.longest;
-  const double millis = kMillisPerSecond * static_cast<double>(pace.nodes) / pace.begins_per_s;
-  const auto longest = static_cast<double>(pace.longest.count());
-  return net::Millis(static_cast<std::int64_t>(std::min(millis, longest)));
+net::Millis retry_interval(const RetryPacing& pacing) {
+  if (pacing.starts_per_s <= 0) return pacing.max_delay;
+  const double millis =
+      kMillisPerSecond * static_cast<double>(pacing.node_count) / pacing.starts_per_s;
+  const auto max_delay = static_cast<double>(pacing.max_delay.count());
+  return net::Millis(static_cast<std::int64_t>(std::min(millis, max_delay)));
 }
 
 }  // namespace
 
-net::Millis ReturnSchedule::place(int rank, const ReturnPace& pace, net::TimePoint now) {
-  const auto gap = spacing(pace);
-  const auto part = net::Millis(static_cast<std::int64_t>(phase_ * double(gap.count())));
-  auto at = now + pace.first + part;
-  for (const auto& [other, last] : last_) {
-    if (other <= rank) at = std::max(at, last + gap);
+net::Millis RetrySchedule::next_retry_delay(int rank, const RetryPacing& pacing,
+                                            net::TimePoint now) {
+  const auto interval = retry_interval(pacing);
+  const auto phase_offset =
+      net::Millis(static_cast<std::int64_t>(phase_ * double(interval.count())));
+  auto at = now + pacing.min_delay + phase_offset;
+  for (const auto& [other_rank, last_slot] : last_slots_) {
+    if (other_rank <= rank) at = std::max(at, last_slot + interval);
   }
-  const auto earliest = now + std::min(pace.first, pace.longest);
-  at = std::clamp(at, earliest, now + pace.longest);
-  last_[rank] = at;
+  const auto min_time = now + std::min(pacing.min_delay, pacing.max_delay);
+  at = std::clamp(at, min_time, now + pacing.max_delay);
+  last_slots_[rank] = at;
   return std::chrono::duration_cast<net::Millis>(at - now);
 }
 
--- a/src/admission/service_load.cpp
+++ b/src/admission/service_load.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Whether the engine fails for this node or for many others, of late.
-bool fails(const balancing::Engine& engine, net::TimePoint now) {
+bool is_failing(const balancing::Engine& engine, net::TimePoint now) {
   if (engine.left_to_probe) return true;
   return balancing::failed_lately(engine, now) &&
          engine.consecutive_failures >= balancing::kFailuresOfManyNodes;
@@ -25,7 +25,7 @@
   for (const auto& engine : engines) {
     if (!engine->usable()) continue;
     requests += engine->in_flight + engine->peer_in_flight;
-    (fails(*engine, now) ? service.lost_slots : service.slots) += engine->record.slots;
+    (is_failing(*engine, now) ? service.lost_slots : service.slots) += engine->record.slots;
   }
   if (service.slots == 0) std::swap(service.slots, service.lost_slots);
   if (service.slots > 0) service.load = static_cast<double>(requests) / service.slots;
--- a/src/readiness/fleet_view.hpp
+++ b/src/readiness/fleet_view.hpp
@@ -10,10 +10,10 @@
 namespace sailgate::readiness {
 
 /// @param silence longest time between two signs of life of a peer.
-ReadinessView view_of(const cluster::PeerDirectory& directory, net::TimePoint now,
-                      net::Millis silence);
+ReadinessView build_readiness_view(const cluster::PeerDirectory& directory, net::TimePoint now,
+                                   net::Millis silence);
 
 /// Last sign of life of any node, by zone; without the own one.
-std::map<std::string, net::TimePoint> newest_signs(const cluster::PeerDirectory& directory);
+std::map<std::string, net::TimePoint> last_heard_by_zone(const cluster::PeerDirectory& directory);
 
 }  // namespace sailgate::readiness
--- a/src/readiness/readiness.cpp
+++ b/src/readiness/readiness.cpp
@@ -6,58 +6,61 @@
 
 /// Other zones are heard several times a second; callers of a zone that is cut off lose what this
 /// adds to the second or two in which their entry notices.
-constexpr net::Millis kSilenceOfCut{700};
+constexpr net::Millis kPartitionSilence{700};
 /// One call may fail by itself; silence of the other zones is a second sign, so two are enough.
-constexpr int kFailuresOfCut = 2;
+constexpr int kPartitionMinFailures = 2;
 /// A cut ends answers and news at the same time. The last answer may be older than the cut by the
 /// time that an idle feed waits, 2.5 s; news that ended long before it is of zones that are gone.
-constexpr net::Millis kTogether{3000};
+constexpr net::Millis kPartitionMaxSkew{3000};
 /// Nodes elsewhere that have lost the store as well have said so by then: three calls fail within
 /// half a second and their news takes up to a second. A store that is slow for all answers some
 /// call within this time.
-constexpr net::Millis kUnansweredWhenLost{1500};
+constexpr net::Millis kStoreLossTimeout{1500};
 /// With fewer failures in a row single lost answers could be all.
-constexpr int kFailuresWhenLost = 4;
+constexpr int kStoreLossMinFailures = 4;
 
-bool most(int part, int whole) { return part * 2 > whole; }
+bool is_majority(int part, int whole) { return part * 2 > whole; }
 
 /// A fleet that has just begun hears other zones seldom, and a store that is slow or loses answers
 /// fails some calls in a row: that is no cut while the store answered a moment ago. Without this 23
 /// times a node of 84 stepped aside in the four seconds between a restart of half of them, beside a
 /// slow store, and the cut of a zone (counted in their logs, one run).
-bool answered_just_now(const ReadinessView& view) { return view.store_unanswered < kSilenceOfCut; }
+bool store_answered_recently(const ReadinessView& view) {
+  return view.store_unanswered < kPartitionSilence;
+}
 
-bool cut_off(const ReadinessView& view) {
+bool is_cut_off(const ReadinessView& view) {
   const auto& others = elsewhere(view);
-  if (others.known == 0 || view.store_failures < kFailuresOfCut) return false;
-  if (others.newest_news < kSilenceOfCut) return false;
-  if (others.newest_news - kTogether > view.store_unanswered) return false;
-  return !answered_just_now(view);
+  if (others.known == 0 || view.store_failures < kPartitionMinFailures) return false;
+  if (others.last_heard_age < kPartitionSilence) return false;
+  if (others.last_heard_age - kPartitionMaxSkew > view.store_unanswered) return false;
+  return !store_answered_recently(view);
 }
 
-bool store_lost_here(const ReadinessView& view) {
+bool is_store_lost_here(const ReadinessView& view) {
   const auto& others = elsewhere(view);
-  if (view.store_failures < kFailuresWhenLost) return false;
-  if (view.store_unanswered < kUnansweredWhenLost) return false;
-  return others.heard > 0 && most(others.reach_store, others.heard);
+  if (view.store_failures < kStoreLossMinFailures) return false;
+  if (view.store_unanswered < kStoreLossTimeout) return false;
+  return others.heard > 0 && is_majority(others.reach_store, others.heard);
 }
 
-bool zone_steps_aside(const ReadinessView& view) {
+bool is_zone_stepping_aside(const ReadinessView& view) {
   const auto& zone = view.own_zone;
-  return zone.heard > 0 && most(zone.step_aside, zone.heard) && !most(zone.reach_store, zone.heard);
+  return zone.heard > 0 && is_majority(zone.step_aside, zone.heard) &&
+         !is_majority(zone.reach_store, zone.heard);
 }
 
 Reason reason_of(const ReadinessView& view) {
   if (view.store_failures == 0) return Reason::kStoreAnswers;
-  if (cut_off(view)) return Reason::kCutOff;
-  if (store_lost_here(view)) return Reason::kStoreLostHere;
-  if (zone_steps_aside(view)) return Reason::kZoneStepsAside;
+  if (is_cut_off(view)) return Reason::kCutOff;
+  if (is_store_lost_here(view)) return Reason::kStoreLostHere;
+  if (is_zone_stepping_aside(view)) return Reason::kZoneStepsAside;
   return Reason::kStoreAwayForAll;
 }
 
 }  // namespace
 
-const NodesSeen& elsewhere(const ReadinessView& view) {
+const PeerGroupView& elsewhere(const ReadinessView& view) {
   return view.other_zones.known > 0 ? view.other_zones : view.own_zone;
 }
 
@@ -67,7 +70,7 @@
   readiness.serve =
       readiness.reason == Reason::kStoreAnswers || readiness.reason == Reason::kStoreAwayForAll;
   const auto& zone = view.own_zone;
-  readiness.whole_zone = zone.heard > 0 && !most(zone.reach_store, zone.heard);
+  readiness.whole_zone = zone.heard > 0 && !is_majority(zone.reach_store, zone.heard);
   return readiness;
 }
 
--- a/src/readiness/readiness.hpp
+++ b/src/readiness/readiness.hpp
@@ -12,19 +12,19 @@
 namespace sailgate::readiness {
 
 /// What this node knows of a group of other nodes.
-struct NodesSeen {
+struct PeerGroupView {
   int known = 0;        ///< were heard of since this process started
   int heard = 0;        ///< were heard of lately
   int reach_store = 0;  ///< of those heard: the store answers their own calls
   int step_aside = 0;   ///< of those heard: they send callers elsewhere
-  net::Millis newest_news{net::Millis::max()};  ///< age of the last sign of life of any of them
+  net::Millis last_heard_age{net::Millis::max()};  ///< age of the last sign of life of any of them
 };
 
 struct ReadinessView {
   int store_failures = 0;           ///< calls that failed since the last answer, relayed ones too
   net::Millis store_unanswered{0};  ///< time since the last answer
-  NodesSeen own_zone;               ///< without this node
-  NodesSeen other_zones;
+  PeerGroupView own_zone;           ///< without this node
+  PeerGroupView other_zones;
 };
 
 enum class Reason {
@@ -47,7 +47,7 @@
 
 /// The other zones, or the other nodes where there is one zone only: what they tell decides whether
 /// a node that misses the store is cut off.
-const NodesSeen& elsewhere(const ReadinessView& view);
+const PeerGroupView& elsewhere(const ReadinessView& view);
 
 /// Stable name for logs.
 const char* name_of(Reason reason);
--- a/src/routing/configuration.hpp
+++ b/src/routing/configuration.hpp
@@ -33,10 +33,10 @@
   net::Millis objective{0};  ///< an answer within it earns its full worth
   net::Millis event_gap{0};  ///< streams: longest pause between events that is in time; 0: not told
   int priority = 0;          ///< 0 is the most urgent
-  int most_engines = 1;      ///< that may work on one attempt of a caller at the same time
+  int max_engines = 1;       ///< that may work on one attempt of a caller at the same time
   bool resumable = false;    ///< a stream may go on at another engine
-  bool open_to_all = false;  ///< requests need not say whose they are
-  bool retained = false;     ///< turns bring only their new input; the system keeps the rest
+  bool allows_anonymous = false;  ///< requests need not say whose they are
+  bool retained = false;          ///< turns bring only their new input; the system keeps the rest
   net::Millis retention{0};
   std::vector<WeightedService> services;
 
--- a/src/serving/attempt_bound.hpp
+++ b/src/serving/attempt_bound.hpp
@@ -15,8 +15,8 @@
 /// engines each where one was allowed.
 class AttemptBound {
  public:
-  /// @param most_engines that may work on the attempt; at least 1.
-  void set_most_engines(int most_engines) { most_engines_ = most_engines < 1 ? 1 : most_engines; }
+  /// @param max_engines that may work on the attempt; at least 1.
+  void set_most_engines(int max_engines) { most_engines_ = max_engines < 1 ? 1 : max_engines; }
 
   /// The engine's connection was reset under the request: it may still be working on it.
   void note_reset(const std::string& engine) { working_.insert(engine); }
--- a/src/serving/call_handler.cpp
+++ b/src/serving/call_handler.cpp
@@ -67,13 +67,14 @@
       call.routes->find(text(call.request[http::field::host]), text(call.request.target()));
   if (call.route == nullptr) co_return co_await refuse(call, Kind::kUnknownResource);
   call.tenant = call.routes->tenants().find(call.description.credential);
-  if (call.tenant == nullptr && call.routes->tenants().required() && !call.route->open_to_all) {
+  if (call.tenant == nullptr && call.routes->tenants().credentials_required() &&
+      !call.route->allows_anonymous) {
     co_return co_await refuse(call, Kind::kUnauthorized);
   }
   constexpr double kDrawRange = 1 << 20U;
   const double draw = static_cast<double>(state_.random.below(1 << 20U)) / kDrawRange;
   call.service = routing::choose_service(*call.route, draw);
-  call.attempts.set_most_engines(call.route->most_engines);
+  call.attempts.set_most_engines(call.route->max_engines);
   const auto held = call.description.deadline
                         ? std::min(*call.description.deadline, call.route->timeout)
                         : call.route->timeout;
--- a/src/serving/gateway.cpp
+++ b/src/serving/gateway.cpp
@@ -166,8 +166,8 @@
 
 void Gateway::take_peer_begun(net::TimePoint now) {
   const auto silence = state_.beacons.silence_limit();
-  const auto seen = readiness::view_of(state_.peers, now, silence);
-  const auto age = std::min(seen.own_zone.newest_news, seen.other_zones.newest_news);
+  const auto seen = readiness::build_readiness_view(state_.peers, now, silence);
+  const auto age = std::min(seen.own_zone.last_heard_age, seen.other_zones.last_heard_age);
   const auto heard_at = age == net::Millis::max() ? net::TimePoint{} : now - age;
   state_.admission.hear(state_.peers.begun(now, silence), state_.quotas.membership().heard,
                         heard_at);
@@ -212,7 +212,7 @@
 net::asio::awaitable<void> Gateway::finish_stop() {
   co_await feeds_.unregister_self();
   net::asio::co_spawn(context_, release_tokens(), net::asio::detached);
-  co_await net::sleep_for(context_, readiness::kEntryNotices + kLateConnections);
+  co_await net::sleep_for(context_, readiness::kLoadBalancerDetectionTime + kLateConnections);
   net::Error ignored;
   acceptor_.close(ignored);
   const auto limit = stop_began_ + state_.settings.stop_grace - kStopMargin;
--- a/src/serving/program_gate.cpp
+++ b/src/serving/program_gate.cpp
@@ -14,7 +14,7 @@
 
 admission::ProgramRequest request_of(const NodeState& state, const Call& call, bool begins) {
   admission::ProgramRequest request;
-  request.under_way = !begins;
+  request.program_started = !begins;
   request.rank = call.priority();
   request.tenant = cluster::tenant_key(call.tenant_name());
   request.time_left = call.time_left();
@@ -25,7 +25,7 @@
 /// Without shares and an order of return: one bound on the load of each rank.
 std::optional<net::Millis> hold_to_bound(NodeState& state, const Call& call) {
   const auto load = balancing::mean_load(state.engines.of_service(call.service));
-  if (admission::may_begin(load, call.priority())) return std::nullopt;
+  if (admission::may_start(load, call.priority())) return std::nullopt;
   const auto wait = kOverloadReturn * (100 + state.random.below(kReturnSpread)) / 100;
   state.log.event("refused_for_load")
       .with("id", call.description.request_id)
@@ -50,19 +50,19 @@
   const auto decision = state.admission.admit(service, request, now);
   if (begins) state.metrics.program_decided(decision.refusal, request.rank);
   if (decision.admitted()) return std::nullopt;
-  const auto wait = state.admission.return_time(call.service, request, now);
+  const auto wait = state.admission.retry_delay(call.service, request, now);
   state.log.event("refused_for_load")
       .with("id", call.description.request_id)
       .with("program", call.description.program)
       .with("reason", admission::name_of(decision.refusal))
       .with("load", service.load)
-      .with("unheard", decision.unheard)
+      .with("unheard", decision.unreported_starts)
       .with("slots", service.slots)
       .with("lost_slots", service.lost_slots)
       .with("heard_ms", service.age.count())
       .with("rank", request.rank)
       .with("tenant", call.tenant_name())
-      .with("tenant_begun", decision.begun)
+      .with("tenant_begun", decision.tenant_starts)
       .with("fair_share", decision.level)
       .with("time_left_ms", request.time_left.count())
       .with("retry_after_ms", wait.count());
--- a/src/serving/stream_call.cpp
+++ b/src/serving/stream_call.cpp
@@ -62,7 +62,7 @@
   auto end = co_await serve();
   end_turn(nullptr, "");
   if (first_turn_ && std::string_view(end.outcome) == "answered") {
-    state_.admission.note_first_turn(call_.service, call_.elapsed() - held_for_);
+    state_.admission.record_first_turn(call_.service, call_.elapsed() - held_for_);
   }
   co_return end;
 }
@@ -90,7 +90,7 @@
     // Another node can serve it, however long this one stays cut off.
     const auto part = kElsewhereSpread * static_cast<std::int64_t>(draw) /
                       static_cast<std::int64_t>(kReturnSpread);
-    expected = state_.readiness.time_to_elsewhere(net::Clock::now()) + part;
+    expected = state_.readiness.time_to_failover(net::Clock::now()) + part;
   }
   const bool for_all = outage.count() > 0 || state_.store.full();
   const auto wait = return_time(expected, call_.time_left(), for_all ? draw : 0);
--- a/src/tenancy/tenant_directory.hpp
+++ b/src/tenancy/tenant_directory.hpp
@@ -26,7 +26,7 @@
   const Tenant* find(const Credential& credential) const;
 
   /// Whether requests must say whose they are.
-  bool required() const { return !tenants_.empty(); }
+  bool credentials_required() const { return !tenants_.empty(); }
   const std::vector<Tenant>& tenants() const { return tenants_; }
 
  private:
--- a/tests/admission/admission_fleet.cpp
+++ b/tests/admission/admission_fleet.cpp
@@ -6,8 +6,8 @@
 
 namespace sailgate::test {
 
-AdmissionFleet::AdmissionFleet(Way way, net::Millis news_age, std::uint64_t seed)
-    : way_(way), news_age_(news_age), random_(seed), requests_of_(kNodes) {
+AdmissionFleet::AdmissionFleet(Policy policy, net::Millis report_age, std::uint64_t seed)
+    : policy_(policy), report_age_(report_age), random_(seed), node_requests_(kNodes) {
   for (int node = 0; node < kNodes; ++node) nodes_.emplace_back(random_.fraction());
 }
 
@@ -15,7 +15,7 @@
   for (const auto end = now_ + time; now_ < end;) {
     step();
     for (const auto& [kind, rate] : rates) {
-      auto& due = due_[kind];
+      auto& due = pending_starts_[kind];
       // Twice the rate half of the time by chance: callers do not come evenly.
       if (random_.chance(50)) due += 2 * rate * kTick.count() / 1000.0;
       for (; due >= 1; --due) send_at_once(kind, 1);
@@ -25,22 +25,22 @@
 
 void AdmissionFleet::send_at_once(const CallerKind& kind, int callers) {
   for (int caller = 0; caller < callers; ++caller) {
-    ++got_[kind].asked;
+    ++results_[kind].asked;
     Program program;
     program.kind = kind;
-    program.asked_at = now_;
-    ask(program);
+    program.arrived_at = now_;
+    request_start(program);
   }
 }
 
 void AdmissionFleet::step() {
   now_ += kTick;
   end_turns();
-  while (!returns_.empty() && returns_.begin()->first <= now_) {
-    ask(returns_.extract(returns_.begin()).mapped());
+  while (!retries_.empty() && retries_.begin()->first <= now_) {
+    request_start(retries_.extract(retries_.begin()).mapped());
   }
   fill_slots();
-  exchange_news();
+  exchange_reports();
   highest_load_ = std::max(highest_load_, double(requests()) / slots_);
 }
 
@@ -52,9 +52,9 @@
     } else if (--program.turns_left > 0) {
       waiting_.push_back(program);
     } else {
-      --requests_of_[program.node];
-      auto& got = got_[program.kind];
-      ++(now_ - program.asked_at <= kDue ? got.in_time : got.late);
+      --node_requests_[program.node];
+      auto& results = results_[program.kind];
+      ++(now_ - program.arrived_at <= kLatencyGoal ? results.in_time : results.late);
     }
   }
   running_ = std::move(running);
@@ -68,14 +68,14 @@
   }
 }
 
-void AdmissionFleet::exchange_news() {
-  News news{now_, requests_of_, {}};
+void AdmissionFleet::exchange_reports() {
+  FleetReport news{now_, node_requests_, {}};
   for (auto& node : nodes_) news.told.push_back(node.told(now_));
-  news_.push_back(std::move(news));
-  while (news_.front().at + news_age_ < now_) news_.pop_front();
-  const auto& heard = news_.front();
+  reports_.push_back(std::move(news));
+  while (reports_.front().at + report_age_ < now_) reports_.pop_front();
+  const auto& heard = reports_.front();
   for (std::size_t node = 0; node < nodes_.size(); ++node) {
-    admission::BegunByTenant others;
+    admission::ProgramStartsByTenant others;
     for (std::size_t other = 0; other < nodes_.size(); ++other) {
       if (other == node) continue;
       for (const auto& [tenant, count] : heard.told[other]) others[tenant] += count;
@@ -85,32 +85,33 @@
 }
 
 int AdmissionFleet::known_requests(std::size_t node) const {
-  if (news_.empty()) return requests_of_[node];
-  const auto& told = news_.front().requests;
-  return std::accumulate(told.begin(), told.end(), requests_of_[node] - told[node]);
+  if (reports_.empty()) return node_requests_[node];
+  const auto& told = reports_.front().requests;
+  return std::accumulate(told.begin(), told.end(), node_requests_[node] - told[node]);
 }
 
-std::optional<net::Millis> AdmissionFleet::hold(std::size_t node, const Program& program) {
+std::optional<net::Millis> AdmissionFleet::refusal_delay(std::size_t node, const Program& program) {
   admission::ServiceLoad service;
   service.slots = slots_;
   service.load = double(known_requests(node)) / slots_;
-  if (way_ == Way::kBoundOnly) {
-    if (admission::may_begin(service.load, program.kind.rank)) return std::nullopt;
+  if (policy_ == Policy::kLoadBoundOnly) {
+    if (admission::may_start(service.load, program.kind.rank)) return std::nullopt;
     return net::Millis(800 + random_.below(400));
   }
   admission::ProgramRequest request;
   request.rank = program.kind.rank;
   request.tenant = program.kind.tenant;
-  request.time_left = std::chrono::duration_cast<net::Millis>(program.asked_at + kDeadline - now_);
+  request.time_left =
+      std::chrono::duration_cast<net::Millis>(program.arrived_at + kDeadline - now_);
   if (nodes_[node].admit(service, request, now_).admitted()) return std::nullopt;
-  return nodes_[node].return_time("service", request, now_);
+  return nodes_[node].retry_delay("service", request, now_);
 }
 
-void AdmissionFleet::ask(Program program) {
+void AdmissionFleet::request_start(Program program) {
   program.node = random_.below(kNodes);
-  const auto wait = hold(program.node, program);
+  const auto wait = refusal_delay(program.node, program);
   if (!wait) {
-    ++requests_of_[program.node];
+    ++node_requests_[program.node];
     waiting_.push_back(program);
     return;
   }
@@ -119,26 +120,26 @@
 }
 
 void AdmissionFleet::refuse(Program program, net::Millis wait) {
-  if (program.came_back) {
-    ++got_[program.kind].refused;
+  if (program.retried) {
+    ++results_[program.kind].refused;
     return;
   }
-  program.came_back = true;
-  returns_.emplace(now_ + wait, program);
+  program.retried = true;
+  retries_.emplace(now_ + wait, program);
 }
 
-Got AdmissionFleet::got(const CallerKind& kind) const {
-  const auto got = got_.find(kind);
-  return got == got_.end() ? Got() : got->second;
+CallerResults AdmissionFleet::results(const CallerKind& kind) const {
+  const auto results = results_.find(kind);
+  return results == results_.end() ? CallerResults() : results->second;
 }
 
-Got AdmissionFleet::got_of_all() const {
-  Got sum;
-  for (const auto& [kind, got] : got_) {
-    sum.asked += got.asked;
-    sum.in_time += got.in_time;
-    sum.late += got.late;
-    sum.refused += got.refused;
+CallerResults AdmissionFleet::total_results() const {
+  CallerResults sum;
+  for (const auto& [kind, results] : results_) {
+    sum.asked += results.asked;
+    sum.in_time += results.in_time;
+    sum.late += results.late;
+    sum.refused += results.refused;
   }
   return sum;
 }
--- a/tests/admission/admission_fleet.hpp
+++ b/tests/admission/admission_fleet.hpp
@@ -21,8 +21,8 @@
   }
 };
 
-/// What callers of a kind got.
-struct Got {
+/// What callers of a kind results.
+struct CallerResults {
   int asked = 0;
   int in_time = 0;
   int late = 0;
@@ -31,7 +31,7 @@
 };
 
 /// Whether nodes share and order, or hold to one bound and send callers back by chance.
-enum class Way { kShares, kBoundOnly };
+enum class Policy { kFairShare, kLoadBoundOnly };
 
 /// Programs of eleven turns of 100 ms; what does not fit on the slots waits in the order in which
 /// it came. Programs are due after 1.4 times their time on idle slots and 200 ms; callers that are
@@ -40,9 +40,9 @@
  public:
   static constexpr int kSlots = 352;
   /// Programs a second that take 60 of 100 slots.
-  static constexpr double kUsual = 0.6 * kSlots / 1.1;
+  static constexpr double kNormalRate = 0.6 * kSlots / 1.1;
 
-  AdmissionFleet(Way way, net::Millis news_age, std::uint64_t seed);
+  AdmissionFleet(Policy policy, net::Millis report_age, std::uint64_t seed);
 
   /// Rates in programs a second, by kind.
   using Rates = std::map<CallerKind, double>;
@@ -51,11 +51,11 @@
   void send_at_once(const CallerKind& kind, int callers);
   void set_slots(int slots) { slots_ = slots; }
 
-  Got got(const CallerKind& kind) const;
-  Got got_of_all() const;
-  /// Most requests under way or waiting by slot, since the start.
+  CallerResults results(const CallerKind& kind) const;
+  CallerResults total_results() const;
+  /// Most requests under policy or waiting by slot, since the start.
   double highest_load() const { return highest_load_; }
-  /// Callers that were refused while fewer requests were under way than there were slots.
+  /// Callers that were refused while fewer requests were under policy than there were slots.
   int refused_with_free_slots() const { return refused_with_free_slots_; }
 
  private:
@@ -63,49 +63,49 @@
   static constexpr int kNodes = 12;
   static constexpr int kTurns = 11;
   static constexpr net::Millis kTurn{100};
-  static constexpr net::Millis kDue = kTurns * kTurn * 14 / 10 + net::Millis(200);
+  static constexpr net::Millis kLatencyGoal = kTurns * kTurn * 14 / 10 + net::Millis(200);
   static constexpr net::Millis kDeadline{3000};
 
   struct Program {
     CallerKind kind;
-    net::TimePoint asked_at{};
-    bool came_back = false;
+    net::TimePoint arrived_at{};
+    bool retried = false;
     std::size_t node = 0;  ///< that serves it
     int turns_left = kTurns;
-    net::TimePoint ends_at{};  ///< of the turn under way
+    net::TimePoint ends_at{};  ///< of the turn under policy
   };
-  /// What nodes hear of each other, `news_age_` late.
-  struct News {
+  /// What nodes hear of each other, `report_age_` late.
+  struct FleetReport {
     net::TimePoint at;
-    std::vector<int> requests;                   ///< by node
-    std::vector<admission::BegunByTenant> told;  ///< by node
+    std::vector<int> requests;                           ///< by node
+    std::vector<admission::ProgramStartsByTenant> told;  ///< by node
   };
 
   void step();
   void end_turns();
   void fill_slots();
-  void exchange_news();
-  void ask(Program program);
+  void exchange_reports();
+  void request_start(Program program);
   void refuse(Program program, net::Millis wait);
   /// Requests that a node knows of: its own, and those that the others told of.
   int known_requests(std::size_t node) const;
   /// @return time to come back; nullopt: the program may begin.
-  std::optional<net::Millis> hold(std::size_t node, const Program& program);
+  std::optional<net::Millis> refusal_delay(std::size_t node, const Program& program);
   int requests() const { return static_cast<int>(running_.size() + waiting_.size()); }
 
-  Way way_;
-  net::Millis news_age_;
+  Policy policy_;
+  net::Millis report_age_;
   base::Random random_;
   std::vector<admission::ProgramAdmission> nodes_;
   net::TimePoint now_ = net::TimePoint{} + std::chrono::hours(1);
   int slots_ = kSlots;
-  std::vector<int> requests_of_;      ///< under way or waiting, by node
-  std::map<CallerKind, double> due_;  ///< parts of programs
+  std::vector<int> node_requests_;               ///< under policy or waiting, by node
+  std::map<CallerKind, double> pending_starts_;  ///< parts of programs
   std::vector<Program> running_;
   std::deque<Program> waiting_;
-  std::multimap<net::TimePoint, Program> returns_;
-  std::deque<News> news_;
-  std::map<CallerKind, Got> got_;
+  std::multimap<net::TimePoint, Program> retries_;
+  std::deque<FleetReport> reports_;
+  std::map<CallerKind, CallerResults> results_;
   double highest_load_ = 0;
   int refused_with_free_slots_ = 0;
 };
--- a/tests/admission/admission_load_test.cpp
+++ b/tests/admission/admission_load_test.cpp
@@ -5,22 +5,22 @@
 using namespace sailgate;
 using test::AdmissionFleet;
 using test::CallerKind;
-using test::Got;
-using test::Way;
+using test::CallerResults;
+using test::Policy;
 
 namespace {
 
 constexpr int kTenants = 20;
 constexpr int kUrgent = 0;
 constexpr int kLessUrgent = 2;
-constexpr net::Millis kNews{300};
-constexpr net::Millis kSettle{8000};
+constexpr net::Millis kReportAge{300};
+constexpr net::Millis kDrainTime{8000};
 
 /// The usual rate times `times`, by tenants alike but for the first `hot`, which send `x` times as
 /// much.
 AdmissionFleet::Rates rates(double times, int hot = 0, double x = 1) {
   AdmissionFleet::Rates rates;
-  const double each = times * AdmissionFleet::kUsual / kTenants / 2;
+  const double each = times * AdmissionFleet::kNormalRate / kTenants / 2;
   for (int tenant = 0; tenant < kTenants; ++tenant) {
     for (const int rank : {kUrgent, kLessUrgent}) {
       rates[{tenant, rank}] = tenant < hot ? x * each : each;
@@ -29,55 +29,55 @@
   return rates;
 }
 
-Got sum_of(const AdmissionFleet& fleet, int from, int to, int rank) {
-  Got sum;
+CallerResults sum_of(const AdmissionFleet& fleet, int from, int to, int rank) {
+  CallerResults sum;
   for (int tenant = from; tenant < to; ++tenant) {
-    const auto got = fleet.got({tenant, rank});
-    sum.asked += got.asked;
-    sum.in_time += got.in_time;
-    sum.late += got.late;
-    sum.refused += got.refused;
+    const auto results = fleet.results({tenant, rank});
+    sum.asked += results.asked;
+    sum.in_time += results.in_time;
+    sum.late += results.late;
+    sum.refused += results.refused;
   }
   return sum;
 }
 
-AdmissionFleet burst(Way way, net::Millis news) {
-  AdmissionFleet fleet(way, news, 1);
+AdmissionFleet burst(Policy policy, net::Millis report_age) {
+  AdmissionFleet fleet(policy, report_age, 1);
   fleet.send(rates(1), net::Millis(4000));
   fleet.send(rates(3), net::Millis(6000));
   fleet.send(rates(1), net::Millis(10'000));
-  fleet.send({}, kSettle);
+  fleet.send({}, kDrainTime);
   return fleet;
 }
 
-AdmissionFleet half_gone(Way way) {
-  AdmissionFleet fleet(way, kNews, 1);
+AdmissionFleet half_capacity_lost(Policy policy) {
+  AdmissionFleet fleet(policy, kReportAge, 1);
   fleet.send(rates(1), net::Millis(4000));
   fleet.set_slots(AdmissionFleet::kSlots / 2);
   fleet.send(rates(1), net::Millis(8000));
   fleet.set_slots(AdmissionFleet::kSlots);
   fleet.send(rates(1), net::Millis(6000));
-  fleet.send({}, kSettle);
+  fleet.send({}, kDrainTime);
   return fleet;
 }
 
-AdmissionFleet two_hot(Way way, double x) {
-  AdmissionFleet fleet(way, kNews, 1);
+AdmissionFleet two_hot_tenants(Policy policy, double x) {
+  AdmissionFleet fleet(policy, kReportAge, 1);
   fleet.send(rates(1), net::Millis(4000));
   fleet.send(rates(1, 2, x), net::Millis(6000));
   fleet.send(rates(1), net::Millis(6000));
-  fleet.send({}, kSettle);
+  fleet.send({}, kDrainTime);
   return fleet;
 }
 
-AdmissionFleet all_at_once(Way way) {
-  AdmissionFleet fleet(way, kNews, 1);
+AdmissionFleet simultaneous_callers(Policy policy) {
+  AdmissionFleet fleet(policy, kReportAge, 1);
   fleet.send(rates(1), net::Millis(4000));
   for (int tenant = 0; tenant < kTenants; ++tenant) {
     for (const int rank : {kUrgent, kLessUrgent}) fleet.send_at_once({tenant, rank}, 30);
   }
   fleet.send(rates(1), net::Millis(10'000));
-  fleet.send({}, kSettle);
+  fleet.send({}, kDrainTime);
   return fleet;
 }
 
@@ -85,9 +85,9 @@
 
 // Of 100 programs 71 end in time instead of 41.
 TEST_CASE("in a burst of three times the work more programs end in time", "[admission]") {
-  const auto before = burst(Way::kBoundOnly, kNews).got_of_all();
-  const auto fleet = burst(Way::kShares, kNews);
-  const auto after = fleet.got_of_all();
+  const auto before = burst(Policy::kLoadBoundOnly, kReportAge).total_results();
+  const auto fleet = burst(Policy::kFairShare, kReportAge);
+  const auto after = fleet.total_results();
   CAPTURE(before.in_time, after.in_time, after.refused, after.asked);
   REQUIRE(after.share_in_time() > before.share_in_time() + 0.2);
   REQUIRE(after.late < before.late / 2);
@@ -103,25 +103,25 @@
 
 // With half of the engines the usual work is 1.2 times what they can do: 92 of 100 in time, not 64.
 TEST_CASE("when half of the engines are gone the more urgent programs end in time", "[admission]") {
-  const auto before = half_gone(Way::kBoundOnly);
-  const auto after = half_gone(Way::kShares);
-  CAPTURE(before.got_of_all().in_time, after.got_of_all().in_time);
-  REQUIRE(after.got_of_all().share_in_time() > before.got_of_all().share_in_time() + 0.15);
+  const auto before = half_capacity_lost(Policy::kLoadBoundOnly);
+  const auto after = half_capacity_lost(Policy::kFairShare);
+  CAPTURE(before.total_results().in_time, after.total_results().in_time);
+  REQUIRE(after.total_results().share_in_time() > before.total_results().share_in_time() + 0.15);
   REQUIRE(sum_of(after, 0, kTenants, kUrgent).share_in_time() > 0.9);
   REQUIRE(sum_of(after, 0, kTenants, kUrgent).refused == 0);
 }
 
 // Two tenants of twenty send 15 times their usual: 2.4 times the usual work in all.
 TEST_CASE("hot tenants take only the room that small ones leave", "[admission]") {
-  const auto usual = two_hot(Way::kShares, 1);
-  const auto before = two_hot(Way::kBoundOnly, 15);
-  const auto after = two_hot(Way::kShares, 15);
+  const auto usual = two_hot_tenants(Policy::kFairShare, 1);
+  const auto before = two_hot_tenants(Policy::kLoadBoundOnly, 15);
+  const auto after = two_hot_tenants(Policy::kFairShare, 15);
   for (const int rank : {kUrgent, kLessUrgent}) {
     const auto small = sum_of(after, 2, kTenants, rank);
-    const auto small_before = sum_of(before, 2, kTenants, rank);
+    const auto small_baseline = sum_of(before, 2, kTenants, rank);
     const auto hot = sum_of(after, 0, 2, rank);
-    CAPTURE(rank, small.in_time, small_before.in_time, small.asked, hot.in_time, hot.asked);
-    REQUIRE(small.share_in_time() > small_before.share_in_time() + 0.2);
+    CAPTURE(rank, small.in_time, small_baseline.in_time, small.asked, hot.in_time, hot.asked);
+    REQUIRE(small.share_in_time() > small_baseline.share_in_time() + 0.2);
     REQUIRE(1 - hot.share_in_time() > 3 * (1 - small.share_in_time()));
     REQUIRE(hot.refused >= small.refused);
   }
@@ -132,8 +132,8 @@
 
 // 1,200 callers beside the usual load: 60 of 100 in time instead of 43.
 TEST_CASE("when all callers ask at once no more begin than end in time", "[admission]") {
-  const auto before = all_at_once(Way::kBoundOnly).got_of_all();
-  const auto after = all_at_once(Way::kShares).got_of_all();
+  const auto before = simultaneous_callers(Policy::kLoadBoundOnly).total_results();
+  const auto after = simultaneous_callers(Policy::kFairShare).total_results();
   CAPTURE(before.in_time, after.in_time, after.refused, after.asked);
   REQUIRE(after.share_in_time() > before.share_in_time() + 0.1);
   REQUIRE(after.late < before.late);
@@ -141,17 +141,17 @@
 
 // With news 1 s old shares come too late to help much; they must not do harm.
 TEST_CASE("with views a second old shares serve no fewer callers", "[admission]") {
-  const auto before = burst(Way::kBoundOnly, net::Millis(1000)).got_of_all();
-  const auto after = burst(Way::kShares, net::Millis(1000)).got_of_all();
+  const auto before = burst(Policy::kLoadBoundOnly, net::Millis(1000)).total_results();
+  const auto after = burst(Policy::kFairShare, net::Millis(1000)).total_results();
   CAPTURE(before.in_time, after.in_time, after.refused, after.asked);
   REQUIRE(after.share_in_time() > before.share_in_time());
   REQUIRE(after.late < before.late);
 }
 
 TEST_CASE("the usual load refuses nobody", "[admission]") {
-  AdmissionFleet fleet(Way::kShares, kNews, 1);
+  AdmissionFleet fleet(Policy::kFairShare, kReportAge, 1);
   fleet.send(rates(1, 2, 3), net::Millis(20'000));
-  fleet.send({}, kSettle);
-  REQUIRE(fleet.got_of_all().refused == 0);
-  REQUIRE(fleet.got_of_all().share_in_time() == Approx(1));
+  fleet.send({}, kDrainTime);
+  REQUIRE(fleet.total_results().refused == 0);
+  REQUIRE(fleet.total_results().share_in_time() == Approx(1));
 }
--- a/tests/admission/admission_test.cpp
+++ b/tests/admission/admission_test.cpp
@@ -26,53 +26,53 @@
   return request;
 }
 
-Refusal refusal(double load, const admission::BegunByTenant& begun,
+Refusal refusal(double load, const admission::ProgramStartsByTenant& begun,
                 const admission::ProgramRequest& request) {
   return admission::decide(at_load(load), begun, request).refusal;
 }
 
-const admission::BegunByTenant kOneHot{{1, 10}, {2, 10}, {3, 100}};
+const admission::ProgramStartsByTenant kOneHeavyTenant{{1, 10}, {2, 10}, {3, 100}};
 
 }  // namespace
 
 TEST_CASE("reasons count in a fixed order", "[admission]") {
-  auto hopeless = from(3, 9);
-  hopeless.time_needed = net::Millis(10'000);
-  REQUIRE(refusal(0.9, kOneHot, hopeless) == Refusal::kNone);
-  REQUIRE(refusal(2.0, kOneHot, hopeless) == Refusal::kNoRoom);
-  REQUIRE(refusal(1.6, kOneHot, hopeless) == Refusal::kRank);
-  REQUIRE(refusal(1.3, kOneHot, hopeless) == Refusal::kFairShare);
-  hopeless.tenant = 1;
-  REQUIRE(refusal(1.3, kOneHot, hopeless) == Refusal::kTimeLeft);
-  hopeless.under_way = true;
-  REQUIRE(refusal(9.0, kOneHot, hopeless) == Refusal::kNone);
+  auto request = from(3, 9);
+  request.time_needed = net::Millis(10'000);
+  REQUIRE(refusal(0.9, kOneHeavyTenant, request) == Refusal::kNone);
+  REQUIRE(refusal(2.0, kOneHeavyTenant, request) == Refusal::kNoRoom);
+  REQUIRE(refusal(1.6, kOneHeavyTenant, request) == Refusal::kRank);
+  REQUIRE(refusal(1.3, kOneHeavyTenant, request) == Refusal::kFairShare);
+  request.tenant = 1;
+  REQUIRE(refusal(1.3, kOneHeavyTenant, request) == Refusal::kTimeLeft);
+  request.program_started = true;
+  REQUIRE(refusal(9.0, kOneHeavyTenant, request) == Refusal::kNone);
 }
 
 TEST_CASE("with little room only the tenant above its share is refused", "[admission]") {
-  REQUIRE(refusal(1.7, kOneHot, from(3)) == Refusal::kFairShare);
-  REQUIRE(refusal(1.7, kOneHot, from(1)) == Refusal::kNone);
-  REQUIRE(refusal(1.7, kOneHot, from(4)) == Refusal::kNone);
+  REQUIRE(refusal(1.7, kOneHeavyTenant, from(3)) == Refusal::kFairShare);
+  REQUIRE(refusal(1.7, kOneHeavyTenant, from(1)) == Refusal::kNone);
+  REQUIRE(refusal(1.7, kOneHeavyTenant, from(4)) == Refusal::kNone);
 }
 
 TEST_CASE("a silent tenant gets no more than its share when it comes back", "[admission]") {
-  admission::BegunByTenant begun{{1, 40}, {2, 40}};
-  int let_begin = 0;
+  admission::ProgramStartsByTenant begun{{1, 40}, {2, 40}};
+  int admitted = 0;
   for (int asked = 0; asked < 100; ++asked) {
     if (refusal(1.75, begun, from(3)) != Refusal::kNone) continue;
     ++begun[3];
-    ++let_begin;
+    ++admitted;
   }
   // Half of what began may begin: less for the tenant that came back than the others had.
-  REQUIRE(let_begin > 10);
-  REQUIRE(let_begin <= 40);
+  REQUIRE(admitted > 10);
+  REQUIRE(admitted <= 40);
 }
 
 TEST_CASE("callers without tenants are held to the load alone", "[admission]") {
-  const admission::BegunByTenant nobody{{0, 500}};
+  const admission::ProgramStartsByTenant nobody{{0, 500}};
   for (int rank = 0; rank < 10; ++rank) {
     for (double load = 0; load < 3; load += 0.01) {
       const bool admitted = refusal(load, nobody, from(0, rank)) == Refusal::kNone;
-      REQUIRE(admitted == admission::may_begin(load, rank));
+      REQUIRE(admitted == admission::may_start(load, rank));
     }
   }
 }
@@ -86,9 +86,9 @@
 
 namespace {
 
-rc::Gen<admission::BegunByTenant> any_counts() {
-  return rc::gen::container<admission::BegunByTenant>(rc::gen::inRange(1, 9),
-                                                      rc::gen::inRange(0, 60));
+rc::Gen<admission::ProgramStartsByTenant> any_counts() {
+  return rc::gen::container<admission::ProgramStartsByTenant>(rc::gen::inRange(1, 9),
+                                                              rc::gen::inRange(0, 60));
 }
 
 double any_load() { return *rc::gen::inRange(0, 300) / 100.0; }
--- a/tests/admission/load_bounds_test.cpp
+++ b/tests/admission/load_bounds_test.cpp
@@ -4,23 +4,23 @@
 #include <deque>
 #include <vector>
 
-using sailgate::admission::may_begin;
+using sailgate::admission::may_start;
 
 TEST_CASE("programs begin while engines can take them", "[admission]") {
-  REQUIRE(may_begin(0, 0));
-  REQUIRE(may_begin(1.4, 9));
-  REQUIRE_FALSE(may_begin(2.5, 0));
+  REQUIRE(may_start(0, 0));
+  REQUIRE(may_start(1.4, 9));
+  REQUIRE_FALSE(may_start(2.5, 0));
 }
 
 TEST_CASE("less urgent programs are refused first", "[admission]") {
-  REQUIRE(may_begin(1.95, 0));
-  REQUIRE_FALSE(may_begin(1.95, 1));
+  REQUIRE(may_start(1.95, 0));
+  REQUIRE_FALSE(may_start(1.95, 1));
 }
 
 namespace {
 
 /// What callers of a burst got.
-struct Served {
+struct BurstResults {
   int asked = 0;
   int in_time = 0;
   int refused = 0;
@@ -37,18 +37,18 @@
   void send(double rate, int seconds) {
     for (int tick = 0; tick < seconds * kTicksPerSecond; ++tick) step(rate / kTicksPerSecond);
   }
-  const Served& served() const { return served_; }
+  const BurstResults& results() const { return results_; }
 
  private:
   static constexpr int kTicksPerSecond = 100;
   static constexpr int kSlots = 352;
   static constexpr int kTurns = 11;
   static constexpr int kTurnTicks = 10;
-  static constexpr int kDueTicks = kTurns * kTurnTicks * 14 / 10 + 20;
-  static constexpr int kNewsTicks = 50;  ///< age of what nodes know of the load
+  static constexpr int kLatencyGoalTicks = kTurns * kTurnTicks * 14 / 10 + 20;
+  static constexpr int kReportAgeTicks = 50;  ///< age of what nodes know of the load
 
   struct Program {
-    int began = 0;
+    int started_at = 0;
     int turns_left = kTurns;
     int ends_at = 0;  ///< of the turn under way
   };
@@ -64,7 +64,7 @@
       } else if (--program.turns_left > 0) {
         waiting_.push_back(program);
       } else {
-        served_.in_time += now_ - program.began <= kDueTicks ? 1 : 0;
+        results_.in_time += now_ - program.started_at <= kLatencyGoalTicks ? 1 : 0;
       }
     }
     running_ = std::move(running);
@@ -74,14 +74,14 @@
       waiting_.pop_front();
     }
     loads_.push_back(static_cast<double>(running_.size() + waiting_.size()) / kSlots);
-    if (loads_.size() > kNewsTicks) loads_.pop_front();
+    if (loads_.size() > kReportAgeTicks) loads_.pop_front();
   }
 
   void arrive() {
-    ++served_.asked;
+    ++results_.asked;
     const double known = loads_.empty() ? 0 : loads_.front();
-    if (refuses_ && !may_begin(known, 0)) {
-      ++served_.refused;
+    if (refuses_ && !may_start(known, 0)) {
+      ++results_.refused;
     } else {
       waiting_.push_back({now_, kTurns, 0});
     }
@@ -93,29 +93,29 @@
   std::vector<Program> running_;
   std::deque<Program> waiting_;
   std::deque<double> loads_;
-  Served served_;
+  BurstResults results_;
 };
 
 /// A burst of three times the usual work for 6 s; the usual work takes 60 of 100 slots.
-Served burst(bool refuses) {
-  constexpr double kUsual = 0.6 * 352 / 1.1;
+BurstResults burst(bool refuses) {
+  constexpr double kNormalRate = 0.6 * 352 / 1.1;
   BurstService service(refuses);
-  service.send(kUsual, 4);
-  service.send(3 * kUsual, 6);
-  service.send(kUsual, 20);
-  return service.served();
+  service.send(kNormalRate, 4);
+  service.send(3 * kNormalRate, 6);
+  service.send(kNormalRate, 20);
+  return service.results();
 }
 
 }  // namespace
 
 TEST_CASE("refusing programs that have not begun serves more of them in time in a burst",
           "[admission]") {
-  const auto all_taken = burst(false);
-  const auto some_refused = burst(true);
-  const double before = static_cast<double>(all_taken.in_time) / all_taken.asked;
-  const double after = static_cast<double>(some_refused.in_time) / some_refused.asked;
-  CAPTURE(before, after, some_refused.refused);
+  const auto without_refusals = burst(false);
+  const auto with_refusals = burst(true);
+  const double before = static_cast<double>(without_refusals.in_time) / without_refusals.asked;
+  const double after = static_cast<double>(with_refusals.in_time) / with_refusals.asked;
+  CAPTURE(before, after, with_refusals.refused);
   REQUIRE(after > before + 0.1);
   // Whoever is refused is refused at once, and no more than do not fit.
-  REQUIRE(some_refused.refused < some_refused.asked / 3);
+  REQUIRE(with_refusals.refused < with_refusals.asked / 3);
 }
--- a/tests/admission/program_admission_test.cpp
+++ b/tests/admission/program_admission_test.cpp
@@ -30,12 +30,12 @@
 TEST_CASE("what a node let begin is told for some seconds", "[admission]") {
   ProgramAdmission node(0);
   for (int program = 0; program < 3; ++program) node.admit(at_load(0), from(7), kStart);
-  auto under_way = from(7);
-  under_way.under_way = true;
-  node.admit(at_load(9), under_way, kStart);
+  auto continuation = from(7);
+  continuation.program_started = true;
+  node.admit(at_load(9), continuation, kStart);
   REQUIRE_FALSE(node.admit(at_load(9), from(8), kStart).admitted());
-  REQUIRE(node.told(kStart) == admission::BegunByTenant{{7, 3}});
-  REQUIRE(node.told(kStart + net::Millis(2000)) == admission::BegunByTenant{{7, 3}});
+  REQUIRE(node.told(kStart) == admission::ProgramStartsByTenant{{7, 3}});
+  REQUIRE(node.told(kStart + net::Millis(2000)) == admission::ProgramStartsByTenant{{7, 3}});
   REQUIRE(node.told(kStart + net::Millis(4000)).empty());
 }
 
@@ -82,9 +82,9 @@
 TEST_CASE("first turns tell how long the next ones need", "[admission]") {
   ProgramAdmission node(0);
   REQUIRE(node.first_turn_time("service") == net::Millis(0));
-  node.note_first_turn("service", net::Millis(100));
+  node.record_first_turn("service", net::Millis(100));
   REQUIRE(node.first_turn_time("service") == net::Millis(100));
-  for (int turn = 0; turn < 50; ++turn) node.note_first_turn("service", net::Millis(300));
+  for (int turn = 0; turn < 50; ++turn) node.record_first_turn("service", net::Millis(300));
   REQUIRE(node.first_turn_time("service") > net::Millis(290));
   REQUIRE(node.first_turn_time("other") == net::Millis(0));
 }
@@ -93,8 +93,8 @@
   ProgramAdmission node(0);
   auto request = from(1);
   for (int caller = 0; caller < 20; ++caller) {
-    REQUIRE(node.return_time("service", request, kStart) <= net::Millis(1000));
+    REQUIRE(node.retry_delay("service", request, kStart) <= net::Millis(1000));
   }
   request.time_left = net::Millis(300);
-  REQUIRE(node.return_time("service", request, kStart) <= net::Millis(100));
+  REQUIRE(node.retry_delay("service", request, kStart) <= net::Millis(100));
 }
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -111,8 +111,8 @@
       {"name":"choir","api_keys":["k1","k2"],"priority":2,"rate_per_s":25,"burst":12.5},
       {"name":"band","api_keys":[]}]})");
   const auto& route = configuration.routes.at(0);
-  REQUIRE(route.open_to_all);
-  REQUIRE(route.most_engines == 2);
+  REQUIRE(route.allows_anonymous);
+  REQUIRE(route.max_engines == 2);
   const auto& choir = configuration.tenants.at(0);
   REQUIRE(choir.name == "choir");
   REQUIRE(choir.priority == 2);
--- a/tests/readiness/fleet_view_test.cpp
+++ b/tests/readiness/fleet_view_test.cpp
@@ -38,7 +38,7 @@
   hear(directory, 2, kStart + Millis(900), false, true);
   hear(directory, 11, kStart + Millis(400), true);
   hear(directory, 13, kStart + Millis(700), false);
-  const auto view = readiness::view_of(directory, kStart + Millis(1200), kSilence);
+  const auto view = readiness::build_readiness_view(directory, kStart + Millis(1200), kSilence);
   REQUIRE(view.own_zone.known == 2);
   REQUIRE(view.own_zone.heard == 1);
   REQUIRE(view.own_zone.reach_store == 0);
@@ -46,8 +46,8 @@
   REQUIRE(view.other_zones.known == 2);
   REQUIRE(view.other_zones.heard == 2);
   REQUIRE(view.other_zones.reach_store == 1);
-  REQUIRE(view.other_zones.newest_news == Millis(500));
-  const auto signs = readiness::newest_signs(directory);
+  REQUIRE(view.other_zones.last_heard_age == Millis(500));
+  const auto signs = readiness::last_heard_by_zone(directory);
   REQUIRE(signs.size() == 2);
   REQUIRE(signs.at("b") == kStart + Millis(400));
 }
--- a/tests/readiness/readiness_test.cpp
+++ b/tests/readiness/readiness_test.cpp
@@ -7,23 +7,23 @@
 using namespace sailgate;
 using net::Millis;
 using readiness::decide;
-using readiness::NodesSeen;
+using readiness::PeerGroupView;
 using readiness::ReadinessView;
 using readiness::Reason;
 
 namespace {
 
-NodesSeen seen(int known, int heard, int reach_store, Millis news, int aside = 0) {
-  NodesSeen nodes;
+PeerGroupView seen(int known, int heard, int reach_store, Millis news, int aside = 0) {
+  PeerGroupView nodes;
   nodes.known = known;
   nodes.heard = heard;
   nodes.reach_store = reach_store;
-  nodes.newest_news = news;
+  nodes.last_heard_age = news;
   nodes.step_aside = aside;
   return nodes;
 }
 
-ReadinessView view(int failures, Millis unanswered, NodesSeen own, NodesSeen others) {
+ReadinessView view(int failures, Millis unanswered, PeerGroupView own, PeerGroupView others) {
   ReadinessView made;
   made.store_failures = failures;
   made.store_unanswered = unanswered;
@@ -32,7 +32,7 @@
   return made;
 }
 
-NodesSeen any_nodes() {
+PeerGroupView any_nodes() {
   const int known = *rc::gen::inRange(0, 90);
   const int heard = *rc::gen::inRange(0, known + 1);
   const auto reach = *rc::gen::inRange(0, heard + 1);
@@ -56,7 +56,7 @@
     auto others = any_nodes();
     RC_PRE(others.known > 0);
     others.reach_store = *rc::gen::inRange(0, others.heard / 2 + 1);
-    others.newest_news = Millis(*rc::gen::inRange(0, 700));
+    others.last_heard_age = Millis(*rc::gen::inRange(0, 700));
     auto own = any_nodes();
     own.step_aside = *rc::gen::inRange(0, own.heard / 2 + 1);
     const auto made =
@@ -125,7 +125,7 @@
 }
 
 TEST_CASE("with one zone only the other nodes of it count", "[readiness]") {
-  const NodesSeen none;
+  const PeerGroupView none;
   REQUIRE_FALSE(decide(view(4, Millis(1000), seen(4, 0, 0, Millis(1000)), none)).serve);
   REQUIRE_FALSE(decide(view(4, Millis(1500), seen(4, 4, 4, Millis(100)), none)).serve);
   REQUIRE(decide(view(4, Millis(9000), seen(4, 4, 1, Millis(100)), none)).serve);
--- a/tests/readiness/readiness_tracker_test.cpp
+++ b/tests/readiness/readiness_tracker_test.cpp
@@ -78,19 +78,19 @@
       view.store_unanswered = at - node.answered;
       view.own_zone = zone_as_seen(world, i, at, aside_before);
       view.other_zones.known = 100;
-      view.other_zones.newest_news = at - node.heard_others;
-      view.other_zones.heard = view.other_zones.newest_news < kSilence ? 100 : 0;
+      view.other_zones.last_heard_age = at - node.heard_others;
+      view.other_zones.heard = view.other_zones.last_heard_age < kSilence ? 100 : 0;
       view.other_zones.reach_store = view.other_zones.heard * world.others_reach_store(at) / 100;
-      if (!node.tracker.note(view, kStart + at)) continue;
+      if (!node.tracker.update(view, kStart + at)) continue;
       ++node.changes;
       if (first_change_ == Millis(0)) first_change_ = at;
       last_change_ = at;
     }
   }
 
-  readiness::NodesSeen zone_as_seen(const World& world, std::size_t self, Millis at,
-                                    int aside_before) {
-    readiness::NodesSeen zone;
+  readiness::PeerGroupView zone_as_seen(const World& world, std::size_t self, Millis at,
+                                        int aside_before) {
+    readiness::PeerGroupView zone;
     zone.known = static_cast<int>(nodes_.size()) - 1;
     if (!world.zone_heard(self, at)) return zone;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
@@ -100,7 +100,7 @@
     }
     const int own = nodes_[self].tracker.steps_aside() ? 1 : 0;
     zone.step_aside = std::max(0, std::min(zone.heard, aside_before - own));
-    zone.newest_news = Millis(50);
+    zone.last_heard_age = Millis(50);
     return zone;
   }
 
@@ -267,19 +267,19 @@
   view.store_failures = 5;
   view.store_unanswered = Millis(900);
   view.other_zones.known = 50;
-  view.other_zones.newest_news = Millis(900);
+  view.other_zones.last_heard_age = Millis(900);
   view.own_zone.known = 9;
   view.own_zone.heard = 9;
   REQUIRE_FALSE(tracker.store_lost());
-  REQUIRE(tracker.note(view, kStart));
+  REQUIRE(tracker.update(view, kStart));
   REQUIRE(tracker.store_lost());
   // The whole zone is cut off: the entry has to notice first.
-  REQUIRE(tracker.time_to_elsewhere(kStart + Millis(200)) == Millis(2000));
-  REQUIRE(tracker.time_to_elsewhere(kStart + Millis(5000)) == Millis(0));
+  REQUIRE(tracker.time_to_failover(kStart + Millis(200)) == Millis(2000));
+  REQUIRE(tracker.time_to_failover(kStart + Millis(5000)) == Millis(0));
   // This node alone: others of the zone take retries.
   view.own_zone.reach_store = 9;
-  tracker.note(view, kStart + Millis(100));
-  REQUIRE(tracker.time_to_elsewhere(kStart + Millis(200)) == Millis(0));
+  tracker.update(view, kStart + Millis(100));
+  REQUIRE(tracker.time_to_failover(kStart + Millis(200)) == Millis(0));
 }
 
 TEST_CASE("a node serves turns as soon as the store answers, before callers are sent to it",
@@ -289,12 +289,12 @@
   view.store_failures = 5;
   view.store_unanswered = Millis(900);
   view.other_zones.known = 50;
-  view.other_zones.newest_news = Millis(900);
-  tracker.note(view, kStart);
+  view.other_zones.last_heard_age = Millis(900);
+  tracker.update(view, kStart);
   view.store_failures = 0;
-  tracker.note(view, kStart + kTick);
+  tracker.update(view, kStart + kTick);
   REQUIRE(tracker.steps_aside());
   REQUIRE_FALSE(tracker.store_lost());
-  for (int i = 2; i <= 6; ++i) tracker.note(view, kStart + i * kTick);
+  for (int i = 2; i <= 6; ++i) tracker.update(view, kStart + i * kTick);
   REQUIRE_FALSE(tracker.steps_aside());
 }
--- a/tests/support/gateway_fixture.hpp
+++ b/tests/support/gateway_fixture.hpp
@@ -50,11 +50,11 @@
   }
 
   static std::string route(const std::string& prefix, const std::string& kind,
-                           const std::string& more = "", int most_engines = 1) {
+                           const std::string& more = "", int max_engines = 1) {
     return R"({"name":")" + kind + R"(","host":"h","path_prefix":")" + prefix + R"(","kind":")" +
            kind + R"(","timeout_ms":2000,"slo_ms":200,"priority":1,)" +
-           R"("service":"app","retain_s":60,"max_attempts":)" + std::to_string(most_engines) +
-           more + "}";
+           R"("service":"app","retain_s":60,"max_attempts":)" + std::to_string(max_engines) + more +
+           "}";
   }
 
   /// @param more_routes each with a comma in front. @param tenants as JSON; empty: none are named.
--- a/tests/tenancy/tenant_directory_test.cpp
+++ b/tests/tenancy/tenant_directory_test.cpp
@@ -40,6 +40,6 @@
 }
 
 TEST_CASE("without tenants nobody is asked for a key", "[tenancy]") {
-  REQUIRE_FALSE(TenantDirectory().required());
-  REQUIRE(directory().required());
+  REQUIRE_FALSE(TenantDirectory().credentials_required());
+  REQUIRE(directory().credentials_required());
 }
