--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// A request is not tried with less than this share of the mean time of first turns left: turns
-/// differ in length, and hardly one of them takes less than half of the mean.
+/// A request is refused when the time left is below this fraction of the mean first-turn time. Turn
+/// durations vary, but hardly any turn takes less than half of the mean.
 constexpr double kMinShareOfMeanTime = 0.5;
 
 bool misses_deadline(const ProgramRequest& request) {
@@ -15,7 +15,8 @@
   return static_cast<double>(request.time_left.count()) < needed;
 }
 
-/// A program of this tenant would be one above the level.
+/// Whether one more program would put the tenant above its fair share. Fills in the decision's
+/// values for the log.
 bool exceeds_fair_share(const ProgramStartsByTenant& starts, const ProgramRequest& request,
                         Decision& decision) {
   const auto entry = starts.find(request.tenant);
--- a/src/admission/admission.hpp
+++ b/src/admission/admission.hpp
@@ -1,7 +1,7 @@
-/// @file Whether a program may begin, by what its service can take and who began of late.
+/// @file Admission control: decides whether a new program may start on an overloaded service.
 ///
-/// Answers load beyond what the engines of a service can take: for seconds, from one tenant or from
-/// all, often just after capacity was lost. A decision without I/O or clock.
+/// Handles load above the capacity of a service's engines: bursts of a few seconds, from one tenant
+/// or from all, often right after capacity was lost. The decision uses no I/O and no clock.
 #pragma once
 
 #include "admission/fair_share.hpp"
@@ -9,45 +9,44 @@
 
 namespace sailgate::admission {
 
-/// A request that may be the first of its program.
+/// A request that may be the first one of its program.
 struct ProgramRequest {
-  bool program_started = false;  ///< the program has begun: its work would be lost
-  int rank = 0;                  ///< 0 is the most urgent
+  bool program_started = false;  ///< the program is running: refusing would waste its earlier work
+  int rank = 0;                  ///< priority; 0 is the most urgent
   std::int32_t tenant = 0;       ///< cluster::tenant_key()
-  net::Millis time_left{0};      ///< until the caller gives up
-  net::Millis time_needed{0};    ///< what first turns took of late; 0: not known
+  net::Millis time_left{0};      ///< until the caller's deadline
+  net::Millis time_needed{0};    ///< recent mean duration of a first turn; 0: unknown
 };
 
-/// Why a request was refused, in the order in which reasons count.
+/// Why a request was refused. The first reason that applies, in this order, is reported.
 enum class Refusal {
-  kNone,       ///< it is admitted
-  kNoRoom,     ///< no program may begin
-  kRank,       ///< only more urgent ones may
-  kFairShare,  ///< tenants with less than this one go first
-  kTimeLeft,   ///< it would not be answered in time
+  kNone,       ///< admitted
+  kNoRoom,     ///< the service is too loaded for programs of any rank
+  kRank,       ///< the service is too loaded for programs of this rank
+  kFairShare,  ///< the tenant has used its fair share
+  kTimeLeft,   ///< the answer would miss the caller's deadline
 };
 
 /// Stable name, for logs and metrics.
 const char* name_of(Refusal refusal);
 
-/// The decision with what it was made from, for the log.
+/// The decision and the values it was based on, for the log.
 struct Decision {
   Refusal refusal = Refusal::kNone;
-  double shortage = 0;    ///< 0: room for everybody of the rank, 1: for nobody
-  int tenant_starts = 0;  ///< of the tenant, of late
-  double level = 0;       ///< fair share of each tenant in that time; 0 where it was not needed
-  double unreported_starts =
-      0;  ///< programs that others are taken to have begun since they were heard of
+  double shortage = 0;    ///< 0: room for all programs of the rank, 1: for none; see shortage()
+  int tenant_starts = 0;  ///< programs of the tenant that started within the fair-share window
+  double level = 0;       ///< fair share per tenant in that window; 0 if it was not computed
+  double unreported_starts = 0;  ///< estimated starts on other nodes since their last reports
 
   bool admitted() const { return refusal == Refusal::kNone; }
 };
 
-/// - Programs under way are never refused for load.
-/// - While there is room every program begins: nothing is held back for anybody.
-/// - With less room, less urgent ranks are refused at less load.
-/// - Within a rank, a tenant that had its fair share is refused before those that did not. One
-///   group of callers alone, as where there are no tenants, has nobody to share with.
-/// - Who cannot be answered in the time left is refused at once rather than at its deadline.
+/// - Requests of running programs are never refused because of load.
+/// - While there is room every program is admitted; no capacity is reserved for anybody.
+/// - Less urgent ranks are refused at a lower load than more urgent ones.
+/// - Within a rank, tenants that have reached their fair share are refused before the others. A
+///   single tenant, or callers without tenants, have nobody to share with and are not limited.
+/// - Requests that cannot be answered before their deadline are refused at once.
 Decision decide(const ServiceLoad& service, const ProgramStartsByTenant& starts,
                 const ProgramRequest& request);
 
--- a/src/admission/fair_share.hpp
+++ b/src/admission/fair_share.hpp
@@ -1,4 +1,4 @@
-/// @file How tenants share what a service can still take.
+/// @file Max-min fair sharing of a service's remaining capacity among tenants.
 #pragma once
 
 #include <cstdint>
@@ -6,19 +6,20 @@
 
 namespace sailgate::admission {
 
-/// Programs let begin of late over all nodes, by cluster::tenant_key().
+/// Programs started recently on all nodes, by cluster::tenant_key().
 using ProgramStartsByTenant = std::map<std::int32_t, std::int32_t>;
 
-/// Max-min fair level: the most that each may have so that all together have `room`. Those that
-/// have less keep what they have, and what they leave goes to the others in equal parts.
+/// Max-min fair level: the cap per tenant at which all tenants together use `room`. Tenants below
+/// the cap keep their count; what they leave unused is split equally among the others.
 ///
-/// Answers the load of a tenant that sends many times its usual beside small ones. Only what was
-/// let begin of late counts: a tenant that was silent gets no more than its share afterwards, and
-/// one that sent much before is held back no longer than the counts reach.
+/// Protects small tenants from one that sends many times its usual load. Only recent starts count:
+/// a tenant that was idle accumulates no credit, and one that sent too much is limited no longer
+/// than the window of the counts.
 /// @return the largest count when there is room for all.
 double fair_level(const ProgramStartsByTenant& starts, double room);
 
-/// The room at this shortage, in programs of the counts' span: 0 lets all begin on, 1 none.
+/// Programs that may start per window of the counts at this shortage: all of the present count at
+/// 0, none at 1.
 double allowed_starts(const ProgramStartsByTenant& starts, double shortage);
 
 }  // namespace sailgate::admission
--- a/src/admission/program_admission.cpp
+++ b/src/admission/program_admission.cpp
@@ -8,22 +8,23 @@
 
 namespace {
 
-/// Span over which programs count against their tenant's share: several times the age of what nodes
-/// hear of each other (up to 0.4 s), so that shares don't swing with the news, and short enough
-/// that a tenant is held back for seconds only after it sent too much.
+/// Window in which started programs count against their tenant's share. Several times the age of
+/// peer reports (up to 0.4 s), so that shares don't oscillate with each report, yet short enough
+/// that a tenant that sent too much is limited for a few seconds only.
 constexpr net::Millis kFairShareWindow{3000};
-/// Tenants that a beacon tells of: about 8 bytes each of a datagram of at most 8,192, beside other
-/// figures. Those with the most programs come first, since shares hold back nobody else.
+/// Tenants reported in a beacon: each takes about 8 bytes of a datagram of at most 8,192 bytes that
+/// also carries other data. Those with the most programs are kept, since fair sharing refuses only
+/// them.
 constexpr std::size_t kMaxReportedTenants = 200;
-/// Nobody is told to come back before nodes have taken over newer loads, which they do ten times a
-/// second. Who comes back soon can still end in time: at three times the usual work for 6 s 71 of
-/// 100 programs did, 68 with 400 ms and 63 with 800 ms, 59 to 61 with 800 to 1,200 ms by chance
-/// (12 nodes in virtual time).
+/// Callers are not asked to retry before nodes have exchanged new loads, which happens ten times a
+/// second. An early retry can still finish in time: under three times the normal load for 6 s, 71
+/// of 100 programs did, against 68 with 400 ms, 63 with 800 ms, and 59 to 61 with random delays of
+/// 800 to 1,200 ms (12 nodes, simulated time).
 constexpr net::Millis kMinRetryDelay{100};
-/// Callers heed a time to come back of up to this part of the time they have left.
+/// Callers honor retry delays of up to their remaining time divided by this.
 constexpr int kMaxRetryDelayDivisor = 3;
 constexpr net::Millis kRetryDelayFloor{50};
-/// Weight of one more first turn in the mean of their times: the mean follows some ten turns.
+/// Smoothing factor of the moving average of first-turn durations: it follows about ten turns.
 constexpr double kMeanTimeSmoothing = 0.1;
 constexpr double kMillisPerSecond = 1000;
 
--- a/src/admission/program_admission.hpp
+++ b/src/admission/program_admission.hpp
@@ -1,4 +1,4 @@
-/// @file Which programs a node lets begin, and when refused ones may come back.
+/// @file Admission of new programs on one node, and retry delays for refused ones.
 #pragma once
 
 #include <string>
@@ -10,31 +10,32 @@
 
 namespace sailgate::admission {
 
-/// Counts the programs that it lets begin, tells other nodes of them and takes theirs over. Nothing
-/// is kept on disk: after a restart the counts are empty, and the load alone decides. Not
-/// thread-safe: belongs to the event loop.
+/// Counts the programs admitted on this node, exchanges the counts with other nodes through beacons
+/// and decides on new programs. Nothing is persisted: after a restart the counts are empty and only
+/// the load decides. Not thread-safe: used from the event loop only.
 class ProgramAdmission {
  public:
-  /// @param phase of this node among all, in [0, 1); see RetrySchedule.
+  /// @param phase offset of this node, in [0, 1); see RetrySchedule.
   explicit ProgramAdmission(double phase) : phase_(phase) {}
 
-  /// Takes over what the other nodes let begin of late. @param nodes heard of, this one among them.
-  /// @param heard_at when some other node was heard last; zero: none yet.
+  /// Replaces the recent starts reported by other nodes. @param nodes that were heard from,
+  /// including this one. @param heard_at time of the latest report of any other node; zero: none
+  /// yet.
   void hear(ProgramStartsByTenant starts, std::size_t nodes, net::TimePoint heard_at);
-  /// Age of what was heard last.
+  /// Age of the latest report; 0 if there was none.
   net::Millis age(net::TimePoint now) const;
 
-  /// Decides on a request for a service; a program that is let begin is counted.
+  /// Decides on a request for a service and counts the program if it is admitted.
   Decision admit(const ServiceLoad& service, const ProgramRequest& request, net::TimePoint now);
-  /// Time to come back for a request that was just refused.
+  /// Delay after which the caller of a refused request should retry.
   net::Millis retry_delay(const std::string& service, const ProgramRequest& request,
                           net::TimePoint now);
-  /// A first turn was answered whole in this time.
+  /// Records the duration of a first turn that was answered completely.
   void record_first_turn(const std::string& service, net::Millis time);
-  /// Time that first turns took of late; 0: not known.
+  /// Moving average of first-turn durations; 0: unknown.
   net::Millis first_turn_time(const std::string& service) const;
 
-  /// What this node let begin of late, for its beacons.
+  /// Recent starts on this node, to be sent in its beacons.
   ProgramStartsByTenant told(net::TimePoint now);
 
  private:
@@ -48,7 +49,7 @@
   std::size_t node_count_ = 1;
   net::TimePoint heard_at_{};
   std::unordered_map<std::string, RetrySchedule> retry_schedules_;  ///< by service
-  std::unordered_map<std::string, double> first_turn_millis_;       ///< mean of late, by service
+  std::unordered_map<std::string, double> first_turn_millis_;       ///< moving average, by service
 };
 
 }  // namespace sailgate::admission
--- a/src/admission/return_schedule.cpp
+++ b/src/admission/return_schedule.cpp
@@ -8,7 +8,7 @@
 
 constexpr double kMillisPerSecond = 1000;
 
-/// Time between two places of one node.
+/// Time between two slots assigned by one node.
 net::Millis retry_interval(const RetryPacing& pacing) {
   if (pacing.starts_per_s <= 0) return pacing.max_delay;
   const double millis =
--- a/src/admission/return_schedule.hpp
+++ b/src/admission/return_schedule.hpp
@@ -1,4 +1,4 @@
-/// @file When callers that were refused may come back.
+/// @file Retry times of refused callers.
 #pragma once
 
 #include <map>
@@ -7,32 +7,33 @@
 
 namespace sailgate::admission {
 
-/// What the times to come back depend on.
+/// Inputs of the retry delays.
 struct RetryPacing {
-  double starts_per_s = 0;     ///< programs that the service lets begin, over all nodes
-  std::size_t node_count = 1;  ///< that refuse callers, this one among them
-  net::Millis min_delay{0};    ///< before this nothing new is known of the load
-  net::Millis max_delay{0};    ///< callers do not heed longer times
+  double starts_per_s = 0;     ///< programs that the service admits, on all nodes
+  std::size_t node_count = 1;  ///< nodes that refuse callers, including this one
+  net::Millis min_delay{0};    ///< no newer load reports arrive before
+  net::Millis max_delay{0};    ///< callers ignore longer delays
 };
 
-/// Gives refused callers of a service places in an order: by rank, then first come, spaced by this
-/// node's share of what the service lets begin.
+/// Assigns retry slots to refused callers of a service: ordered by rank, then by arrival, and
+/// spaced by this node's share of the service's admission rate.
 ///
-/// Answers the return of all callers after a burst or an outage: at the same time, or drawn by
-/// chance, they would be one more burst. A caller of a more urgent rank gets the place that it
-/// would have without the less urgent ones; those are refused again before it, if need be.
+/// Spreads the retries after a burst or an outage: if all callers retried at the same time, or
+/// after random delays, they would form another burst. A caller of a more urgent rank gets the slot
+/// that it would have without the less urgent callers; where slots collide, the less urgent ones
+/// are refused again.
 class RetrySchedule {
  public:
-  /// @param phase of this node, in [0, 1): nodes that begin their orders at the same moment would
-  /// all give out the same places.
+  /// @param phase offset of this node in the interval between slots, in [0, 1): without it, nodes
+  /// that start their schedules at the same moment would all assign the same slots.
   explicit RetrySchedule(double phase) : phase_(phase) {}
 
-  /// @return time until this caller's place, from pacing.first to pacing.longest.
+  /// @return time until this caller's slot, from pacing.min_delay to pacing.max_delay.
   net::Millis next_retry_delay(int rank, const RetryPacing& pacing, net::TimePoint now);
 
  private:
   double phase_;
-  std::map<int, net::TimePoint> last_slots_;  ///< place given out last, by rank
+  std::map<int, net::TimePoint> last_slots_;  ///< last slot assigned, by rank
 };
 
 }  // namespace sailgate::admission
--- a/src/admission/service_load.cpp
+++ b/src/admission/service_load.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Whether the engine fails for this node or for many others, of late.
+/// Whether the engine has recently failed for this node or for many nodes.
 bool is_failing(const balancing::Engine& engine, net::TimePoint now) {
   if (engine.left_to_probe) return true;
   return balancing::failed_lately(engine, now) &&
--- a/src/admission/service_load.hpp
+++ b/src/admission/service_load.hpp
@@ -1,8 +1,7 @@
-/// @file What a service's engines have to do against what they can take.
+/// @file Load of a service relative to the capacity of its engines.
 ///
-/// Answers the loss of engines or of a zone under the usual load: what can be taken falls as soon
-/// as the loss is seen, while the requests that were under way there come back to the other
-/// engines.
+/// Handles the loss of engines or of a zone under normal load: the capacity falls as soon as the
+/// failure is detected, while the requests that ran there are retried on the other engines.
 #pragma once
 
 #include <vector>
@@ -12,16 +11,17 @@
 namespace sailgate::admission {
 
 struct ServiceLoad {
-  double load = 0;     ///< requests under way or waiting, by slot of the engines that work
-  int slots = 0;       ///< of engines that work
-  int lost_slots = 0;  ///< of engines that are listed and fail
-  net::Millis age{0};  ///< of what was taken over from other nodes
+  double load = 0;     ///< running and waiting requests per slot of working engines
+  int slots = 0;       ///< of working engines
+  int lost_slots = 0;  ///< of registered engines that fail
+  net::Millis age{0};  ///< age of the loads reported by other nodes
 };
 
-/// Requests at engines that fail count: they come back to those that work. Engines that drain
-/// count neither way: they end what they have. Where no engine works by this node's sight, the
-/// sight may be at fault, and all count.
-/// @param age of the loads that other nodes told.
+/// Requests on failing engines count towards the load, since they will be retried on working ones.
+/// Draining engines count neither as load nor as capacity: they finish what they have. If every
+/// engine seems to fail, the fault may be this node's own connectivity, and all engines count as
+/// working.
+/// @param age of the loads reported by other nodes.
 ServiceLoad measure_load(const std::vector<balancing::EnginePointer>& engines, net::TimePoint now,
                          net::Millis age);
 
--- a/src/admission/unheard_begins.hpp
+++ b/src/admission/unheard_begins.hpp
@@ -1,7 +1,7 @@
-/// @file Programs that other nodes let begin since they were heard of last.
+/// @file Estimate of the programs that other nodes have admitted since their last reports.
 ///
-/// Answers all callers asking in the same moment, as after an outage: the load that nodes know is
-/// as old as the news from the others, and by what it says all of them could begin.
+/// Handles many callers arriving at the same moment, as after an outage: the known load is as old
+/// as the reports of the other nodes, and judged by it all callers could be admitted.
 #pragma once
 
 #include <algorithm>
@@ -11,18 +11,21 @@
 
 namespace sailgate::admission {
 
-/// Age that news of other nodes' loads may have.
+/// Maximum age of the loads reported by other nodes.
 inline constexpr net::Millis kMaxPeerReportAge{400};
-/// Standard deviations of a count by chance that are no burst: at one in twenty, nodes that are
-/// asked unevenly don't take their own callers for those of all nodes.
+/// Standard deviations above the mean that still count as random variation. At two, about one count
+/// in twenty lies outside by chance, so that nodes with an uneven part of the callers rarely
+/// mistake it for a burst on all nodes.
 inline constexpr double kNoiseStdDevs = 2;
 
-/// What this node let begin beyond its usual, times the other nodes: callers reach nodes alike.
-/// With it, of 1,200 callers that come at once to 12 nodes beside the usual load, 60 in 100 end in
-/// time instead of 43; at three times the usual work for 6 s, 68 instead of 60 to 63 (in virtual
-/// time, refused callers back from 0.4 s on).
-/// @param recent programs that this node let begin within kMaxPeerReportAge. @param usual in a time
-/// as long, of late. @param others other nodes that callers reach; its own requests a node knows.
+/// This node's starts above its normal rate, multiplied by the number of other nodes: callers are
+/// assumed to be spread evenly. Of 1,200 callers that reach 12 nodes at once on top of the normal
+/// load, 60 in 100 finish in time with this estimate instead of 43; under three times the normal
+/// load for 6 s, 68 instead of 60 to 63 (simulated time, refused callers retry after 0.4 s or
+/// later).
+/// @param recent programs that this node started within kMaxPeerReportAge. @param usual mean number
+/// of starts in an interval of that length. @param others number of other nodes that callers reach;
+/// the node knows its own requests.
 inline double estimate_unreported_starts(double recent, double usual, std::size_t others) {
   const double excess = recent - usual - kNoiseStdDevs * std::sqrt(usual + 1);
   return std::max(0.0, excess) * static_cast<double>(others);
--- a/tests/admission/admission_fleet.cpp
+++ b/tests/admission/admission_fleet.cpp
@@ -15,10 +15,10 @@
   for (const auto end = now_ + time; now_ < end;) {
     step();
     for (const auto& [kind, rate] : rates) {
-      auto& due = pending_starts_[kind];
-      // Twice the rate half of the time by chance: callers do not come evenly.
-      if (random_.chance(50)) due += 2 * rate * kTick.count() / 1000.0;
-      for (; due >= 1; --due) send_at_once(kind, 1);
+      auto& pending = pending_starts_[kind];
+      // Twice the rate in a random half of the ticks: arrivals are not evenly spaced.
+      if (random_.chance(50)) pending += 2 * rate * kTick.count() / 1000.0;
+      for (; pending >= 1; --pending) send_at_once(kind, 1);
     }
   }
 }
@@ -69,16 +69,16 @@
 }
 
 void AdmissionFleet::exchange_reports() {
-  FleetReport news{now_, node_requests_, {}};
-  for (auto& node : nodes_) news.told.push_back(node.told(now_));
-  reports_.push_back(std::move(news));
+  FleetReport report{now_, node_requests_, {}};
+  for (auto& node : nodes_) report.told.push_back(node.told(now_));
+  reports_.push_back(std::move(report));
   while (reports_.front().at + report_age_ < now_) reports_.pop_front();
-  const auto& heard = reports_.front();
+  const auto& latest = reports_.front();
   for (std::size_t node = 0; node < nodes_.size(); ++node) {
     admission::ProgramStartsByTenant others;
     for (std::size_t other = 0; other < nodes_.size(); ++other) {
       if (other == node) continue;
-      for (const auto& [tenant, count] : heard.told[other]) others[tenant] += count;
+      for (const auto& [tenant, count] : latest.told[other]) others[tenant] += count;
     }
     nodes_[node].hear(std::move(others), nodes_.size(), now_);
   }
--- a/tests/admission/admission_fleet.hpp
+++ b/tests/admission/admission_fleet.hpp
@@ -1,4 +1,4 @@
-/// @file Nodes that let programs begin at one service, in virtual time.
+/// @file Simulation of nodes that admit programs to one service, in virtual time.
 #pragma once
 
 #include <deque>
@@ -21,41 +21,42 @@
   }
 };
 
-/// What callers of a kind results.
+/// Outcomes of the callers of a kind.
 struct CallerResults {
   int asked = 0;
   int in_time = 0;
   int late = 0;
-  int refused = 0;  ///< also when they came back
+  int refused = 0;  ///< refused on the retry as well
   double share_in_time() const { return asked == 0 ? 1 : double(in_time) / asked; }
 };
 
-/// Whether nodes share and order, or hold to one bound and send callers back by chance.
+/// kFairShare: fair sharing with scheduled retries. kLoadBoundOnly: one load bound per rank with
+/// random retry delays.
 enum class Policy { kFairShare, kLoadBoundOnly };
 
-/// Programs of eleven turns of 100 ms; what does not fit on the slots waits in the order in which
-/// it came. Programs are due after 1.4 times their time on idle slots and 200 ms; callers that are
-/// refused come back once, to another node, when they were told to.
+/// Programs have eleven turns of 100 ms; turns that find no free slot wait in FIFO order. A program
+/// is in time if it finishes within 1.4 times its time on idle slots plus 200 ms. Refused callers
+/// retry once, on a random node, after the delay they were given.
 class AdmissionFleet {
  public:
   static constexpr int kSlots = 352;
-  /// Programs a second that take 60 of 100 slots.
+  /// Programs per second that use 60 % of the slots.
   static constexpr double kNormalRate = 0.6 * kSlots / 1.1;
 
   AdmissionFleet(Policy policy, net::Millis report_age, std::uint64_t seed);
 
-  /// Rates in programs a second, by kind.
+  /// Programs per second, by kind.
   using Rates = std::map<CallerKind, double>;
   void send(const Rates& rates, net::Millis time);
-  /// So many callers ask in the same moment.
+  /// Lets this number of callers arrive at the same moment.
   void send_at_once(const CallerKind& kind, int callers);
   void set_slots(int slots) { slots_ = slots; }
 
   CallerResults results(const CallerKind& kind) const;
   CallerResults total_results() const;
-  /// Most requests under policy or waiting by slot, since the start.
+  /// Highest number of running and waiting requests per slot since the start.
   double highest_load() const { return highest_load_; }
-  /// Callers that were refused while fewer requests were under policy than there were slots.
+  /// Callers that were refused while there were fewer requests than slots.
   int refused_with_free_slots() const { return refused_with_free_slots_; }
 
  private:
@@ -70,11 +71,11 @@
     CallerKind kind;
     net::TimePoint arrived_at{};
     bool retried = false;
-    std::size_t node = 0;  ///< that serves it
+    std::size_t node = 0;  ///< node that serves it
     int turns_left = kTurns;
-    net::TimePoint ends_at{};  ///< of the turn under policy
+    net::TimePoint ends_at{};  ///< end of the current turn
   };
-  /// What nodes hear of each other, `report_age_` late.
+  /// Reports of all nodes at one time; they arrive `report_age_` late.
   struct FleetReport {
     net::TimePoint at;
     std::vector<int> requests;                           ///< by node
@@ -87,9 +88,9 @@
   void exchange_reports();
   void request_start(Program program);
   void refuse(Program program, net::Millis wait);
-  /// Requests that a node knows of: its own, and those that the others told of.
+  /// Requests known to a node: its own and those reported by the others.
   int known_requests(std::size_t node) const;
-  /// @return time to come back; nullopt: the program may begin.
+  /// @return retry delay; nullopt: the program is admitted.
   std::optional<net::Millis> refusal_delay(std::size_t node, const Program& program);
   int requests() const { return static_cast<int>(running_.size() + waiting_.size()); }
 
@@ -99,8 +100,8 @@
   std::vector<admission::ProgramAdmission> nodes_;
   net::TimePoint now_ = net::TimePoint{} + std::chrono::hours(1);
   int slots_ = kSlots;
-  std::vector<int> node_requests_;               ///< under policy or waiting, by node
-  std::map<CallerKind, double> pending_starts_;  ///< parts of programs
+  std::vector<int> node_requests_;               ///< running or waiting, by node
+  std::map<CallerKind, double> pending_starts_;  ///< fractions of programs
   std::vector<Program> running_;
   std::deque<Program> waiting_;
   std::multimap<net::TimePoint, Program> retries_;
--- a/tests/admission/admission_load_test.cpp
+++ b/tests/admission/admission_load_test.cpp
@@ -16,14 +16,14 @@
 constexpr net::Millis kReportAge{300};
 constexpr net::Millis kDrainTime{8000};
 
-/// The usual rate times `times`, by tenants alike but for the first `hot`, which send `x` times as
-/// much.
-AdmissionFleet::Rates rates(double times, int hot = 0, double x = 1) {
+/// `times` the normal rate, spread evenly over the tenants; the first `heavy` tenants send `factor`
+/// times as much as the others.
+AdmissionFleet::Rates rates(double times, int heavy = 0, double factor = 1) {
   AdmissionFleet::Rates rates;
   const double each = times * AdmissionFleet::kNormalRate / kTenants / 2;
   for (int tenant = 0; tenant < kTenants; ++tenant) {
     for (const int rank : {kUrgent, kLessUrgent}) {
-      rates[{tenant, rank}] = tenant < hot ? x * each : each;
+      rates[{tenant, rank}] = tenant < heavy ? factor * each : each;
     }
   }
   return rates;
@@ -61,10 +61,10 @@
   return fleet;
 }
 
-AdmissionFleet two_hot_tenants(Policy policy, double x) {
+AdmissionFleet two_heavy_tenants(Policy policy, double factor) {
   AdmissionFleet fleet(policy, kReportAge, 1);
   fleet.send(rates(1), net::Millis(4000));
-  fleet.send(rates(1, 2, x), net::Millis(6000));
+  fleet.send(rates(1, 2, factor), net::Millis(6000));
   fleet.send(rates(1), net::Millis(6000));
   fleet.send({}, kDrainTime);
   return fleet;
@@ -83,8 +83,10 @@
 
 }  // namespace
 
-// Of 100 programs 71 end in time instead of 41.
-TEST_CASE("in a burst of three times the work more programs end in time", "[admission]") {
+// Guards the gain of fair sharing and scheduled retries over a load bound: 71 of 100 programs
+// finish in time instead of 41.
+TEST_CASE("fair sharing finishes more programs in time in a burst of three times the load",
+          "[admission]") {
   const auto before = burst(Policy::kLoadBoundOnly, kReportAge).total_results();
   const auto fleet = burst(Policy::kFairShare, kReportAge);
   const auto after = fleet.total_results();
@@ -97,12 +99,14 @@
   CAPTURE(urgent.in_time, less_urgent.in_time);
   REQUIRE(urgent.share_in_time() > less_urgent.share_in_time());
   REQUIRE(urgent.refused < less_urgent.refused);
-  // Refusals while slots are free come from news that is late; they are few.
+  // Outdated load reports cause a few refusals while slots are free.
   REQUIRE(fleet.refused_with_free_slots() < after.asked / 20);
 }
 
-// With half of the engines the usual work is 1.2 times what they can do: 92 of 100 in time, not 64.
-TEST_CASE("when half of the engines are gone the more urgent programs end in time", "[admission]") {
+// With half of the engines the normal load is 1.2 times their capacity: 92 of 100 programs finish
+// in time instead of 64.
+TEST_CASE("when half of the engines are lost the more urgent programs finish in time",
+          "[admission]") {
   const auto before = half_capacity_lost(Policy::kLoadBoundOnly);
   const auto after = half_capacity_lost(Policy::kFairShare);
   CAPTURE(before.total_results().in_time, after.total_results().in_time);
@@ -111,27 +115,28 @@
   REQUIRE(sum_of(after, 0, kTenants, kUrgent).refused == 0);
 }
 
-// Two tenants of twenty send 15 times their usual: 2.4 times the usual work in all.
-TEST_CASE("hot tenants take only the room that small ones leave", "[admission]") {
-  const auto usual = two_hot_tenants(Policy::kFairShare, 1);
-  const auto before = two_hot_tenants(Policy::kLoadBoundOnly, 15);
-  const auto after = two_hot_tenants(Policy::kFairShare, 15);
+// Two of twenty tenants send 15 times their normal rate, which makes 2.4 times the normal load.
+TEST_CASE("heavy tenants get only the capacity that small tenants leave", "[admission]") {
+  const auto normal = two_heavy_tenants(Policy::kFairShare, 1);
+  const auto before = two_heavy_tenants(Policy::kLoadBoundOnly, 15);
+  const auto after = two_heavy_tenants(Policy::kFairShare, 15);
   for (const int rank : {kUrgent, kLessUrgent}) {
     const auto small = sum_of(after, 2, kTenants, rank);
     const auto small_baseline = sum_of(before, 2, kTenants, rank);
-    const auto hot = sum_of(after, 0, 2, rank);
-    CAPTURE(rank, small.in_time, small_baseline.in_time, small.asked, hot.in_time, hot.asked);
+    const auto heavy = sum_of(after, 0, 2, rank);
+    CAPTURE(rank, small.in_time, small_baseline.in_time, small.asked, heavy.in_time, heavy.asked);
     REQUIRE(small.share_in_time() > small_baseline.share_in_time() + 0.2);
-    REQUIRE(1 - hot.share_in_time() > 3 * (1 - small.share_in_time()));
-    REQUIRE(hot.refused >= small.refused);
+    REQUIRE(1 - heavy.share_in_time() > 3 * (1 - small.share_in_time()));
+    REQUIRE(heavy.refused >= small.refused);
   }
-  REQUIRE(sum_of(usual, 2, kTenants, kUrgent).share_in_time() == Approx(1));
+  REQUIRE(sum_of(normal, 2, kTenants, kUrgent).share_in_time() == Approx(1));
   REQUIRE(sum_of(after, 2, kTenants, kUrgent).share_in_time() > 0.99);
   REQUIRE(sum_of(after, 2, kTenants, kUrgent).refused == 0);
 }
 
-// 1,200 callers beside the usual load: 60 of 100 in time instead of 43.
-TEST_CASE("when all callers ask at once no more begin than end in time", "[admission]") {
+// 1,200 simultaneous callers on top of the normal load: 60 of 100 finish in time instead of 43.
+TEST_CASE("simultaneous callers are admitted only as far as they can finish in time",
+          "[admission]") {
   const auto before = simultaneous_callers(Policy::kLoadBoundOnly).total_results();
   const auto after = simultaneous_callers(Policy::kFairShare).total_results();
   CAPTURE(before.in_time, after.in_time, after.refused, after.asked);
@@ -139,8 +144,8 @@
   REQUIRE(after.late < before.late);
 }
 
-// With news 1 s old shares come too late to help much; they must not do harm.
-TEST_CASE("with views a second old shares serve no fewer callers", "[admission]") {
+// With load reports 1 s old fair sharing reacts too late to help much; it must not do harm.
+TEST_CASE("with load reports one second old fair sharing serves no fewer callers", "[admission]") {
   const auto before = burst(Policy::kLoadBoundOnly, net::Millis(1000)).total_results();
   const auto after = burst(Policy::kFairShare, net::Millis(1000)).total_results();
   CAPTURE(before.in_time, after.in_time, after.refused, after.asked);
@@ -148,7 +153,7 @@
   REQUIRE(after.late < before.late);
 }
 
-TEST_CASE("the usual load refuses nobody", "[admission]") {
+TEST_CASE("the normal load causes no refusals", "[admission]") {
   AdmissionFleet fleet(Policy::kFairShare, kReportAge, 1);
   fleet.send(rates(1, 2, 3), net::Millis(20'000));
   fleet.send({}, kDrainTime);
--- a/tests/admission/admission_test.cpp
+++ b/tests/admission/admission_test.cpp
@@ -26,16 +26,16 @@
   return request;
 }
 
-Refusal refusal(double load, const admission::ProgramStartsByTenant& begun,
+Refusal refusal(double load, const admission::ProgramStartsByTenant& starts,
                 const admission::ProgramRequest& request) {
-  return admission::decide(at_load(load), begun, request).refusal;
+  return admission::decide(at_load(load), starts, request).refusal;
 }
 
 const admission::ProgramStartsByTenant kOneHeavyTenant{{1, 10}, {2, 10}, {3, 100}};
 
 }  // namespace
 
-TEST_CASE("reasons count in a fixed order", "[admission]") {
+TEST_CASE("refusal reasons are checked in a fixed order", "[admission]") {
   auto request = from(3, 9);
   request.time_needed = net::Millis(10'000);
   REQUIRE(refusal(0.9, kOneHeavyTenant, request) == Refusal::kNone);
@@ -48,26 +48,27 @@
   REQUIRE(refusal(9.0, kOneHeavyTenant, request) == Refusal::kNone);
 }
 
-TEST_CASE("with little room only the tenant above its share is refused", "[admission]") {
+TEST_CASE("at high load only the tenant above its fair share is refused", "[admission]") {
   REQUIRE(refusal(1.7, kOneHeavyTenant, from(3)) == Refusal::kFairShare);
   REQUIRE(refusal(1.7, kOneHeavyTenant, from(1)) == Refusal::kNone);
   REQUIRE(refusal(1.7, kOneHeavyTenant, from(4)) == Refusal::kNone);
 }
 
-TEST_CASE("a silent tenant gets no more than its share when it comes back", "[admission]") {
-  admission::ProgramStartsByTenant begun{{1, 40}, {2, 40}};
+TEST_CASE("an idle tenant gets no more than its fair share when it returns", "[admission]") {
+  admission::ProgramStartsByTenant starts{{1, 40}, {2, 40}};
   int admitted = 0;
   for (int asked = 0; asked < 100; ++asked) {
-    if (refusal(1.75, begun, from(3)) != Refusal::kNone) continue;
-    ++begun[3];
+    if (refusal(1.75, starts, from(3)) != Refusal::kNone) continue;
+    ++starts[3];
     ++admitted;
   }
-  // Half of what began may begin: less for the tenant that came back than the others had.
+  // At this load half of the recent starts are allowed: the returning tenant gets less than the
+  // others had.
   REQUIRE(admitted > 10);
   REQUIRE(admitted <= 40);
 }
 
-TEST_CASE("callers without tenants are held to the load alone", "[admission]") {
+TEST_CASE("callers without tenants are limited by the load only", "[admission]") {
   const admission::ProgramStartsByTenant nobody{{0, 500}};
   for (int rank = 0; rank < 10; ++rank) {
     for (double load = 0; load < 3; load += 0.01) {
@@ -77,7 +78,7 @@
   }
 }
 
-TEST_CASE("the fair level fills the room and leaves small tenants what they have", "[admission]") {
+TEST_CASE("the fair level uses all the capacity and does not cut small tenants", "[admission]") {
   REQUIRE(admission::fair_level({{1, 10}, {2, 10}, {3, 100}}, 60) == Approx(40));
   REQUIRE(admission::fair_level({{1, 10}, {2, 10}, {3, 100}}, 15) == Approx(5));
   REQUIRE(admission::fair_level({{1, 10}, {2, 10}, {3, 100}}, 500) == Approx(100));
@@ -86,64 +87,64 @@
 
 namespace {
 
-rc::Gen<admission::ProgramStartsByTenant> any_counts() {
+rc::Gen<admission::ProgramStartsByTenant> random_starts() {
   return rc::gen::container<admission::ProgramStartsByTenant>(rc::gen::inRange(1, 9),
                                                               rc::gen::inRange(0, 60));
 }
 
-double any_load() { return *rc::gen::inRange(0, 300) / 100.0; }
+double random_load() { return *rc::gen::inRange(0, 300) / 100.0; }
 
 }  // namespace
 
-TEST_CASE("no tenant inside its share is refused while one above it is admitted", "[admission]") {
+TEST_CASE("no tenant is refused while one with more starts is admitted", "[admission]") {
   REQUIRE(rc::check([] {
-    const auto begun = *any_counts();
-    const double load = any_load();
+    const auto starts = *random_starts();
+    const double load = random_load();
     const int rank = *rc::gen::inRange(0, 10);
     const auto less = from(*rc::gen::inRange(1, 9), rank);
     const auto more = from(*rc::gen::inRange(1, 9), rank);
     const auto count = [&](const admission::ProgramRequest& request) {
-      const auto found = begun.find(request.tenant);
-      return found == begun.end() ? 0 : found->second;
+      const auto found = starts.find(request.tenant);
+      return found == starts.end() ? 0 : found->second;
     };
     RC_PRE(count(less) <= count(more));
-    if (refusal(load, begun, more) == Refusal::kNone) {
-      RC_ASSERT(refusal(load, begun, less) == Refusal::kNone);
+    if (refusal(load, starts, more) == Refusal::kNone) {
+      RC_ASSERT(refusal(load, starts, less) == Refusal::kNone);
     }
   }));
 }
 
-TEST_CASE("while slots are free nobody is refused", "[admission]") {
+TEST_CASE("nobody is refused while slots are free", "[admission]") {
   REQUIRE(rc::check([] {
-    const auto begun = *any_counts();
+    const auto starts = *random_starts();
     const double load = *rc::gen::inRange(0, 100) / 100.0;
     auto request = from(*rc::gen::inRange(1, 9), *rc::gen::inRange(0, 10));
     request.time_left = net::Millis(*rc::gen::inRange(0, 3000));
     request.time_needed = net::Millis(*rc::gen::inRange(0, 3000));
-    RC_ASSERT(refusal(load, begun, request) == Refusal::kNone);
+    RC_ASSERT(refusal(load, starts, request) == Refusal::kNone);
   }));
 }
 
 TEST_CASE("a more urgent program is admitted wherever a less urgent one is", "[admission]") {
   REQUIRE(rc::check([] {
-    const auto begun = *any_counts();
-    const double load = any_load();
+    const auto starts = *random_starts();
+    const double load = random_load();
     const int tenant = *rc::gen::inRange(1, 9);
     const int rank = *rc::gen::inRange(0, 9);
-    if (refusal(load, begun, from(tenant, rank + 1)) == Refusal::kNone) {
-      RC_ASSERT(refusal(load, begun, from(tenant, rank)) == Refusal::kNone);
+    if (refusal(load, starts, from(tenant, rank + 1)) == Refusal::kNone) {
+      RC_ASSERT(refusal(load, starts, from(tenant, rank)) == Refusal::kNone);
     }
   }));
 }
 
-TEST_CASE("the fair level lets no more begin than there is room for", "[admission]") {
+TEST_CASE("the fair level admits no more programs than the capacity", "[admission]") {
   REQUIRE(rc::check([] {
-    const auto begun = *any_counts();
+    const auto starts = *random_starts();
     const double room = *rc::gen::inRange(0, 400);
-    const double level = admission::fair_level(begun, room);
+    const double level = admission::fair_level(starts, room);
     double sum = 0;
     double all = 0;
-    for (const auto& [tenant, count] : begun) {
+    for (const auto& [tenant, count] : starts) {
       sum += std::min<double>(count, level);
       all += count;
     }
--- a/tests/admission/load_bounds_test.cpp
+++ b/tests/admission/load_bounds_test.cpp
@@ -6,7 +6,7 @@
 
 using sailgate::admission::may_start;
 
-TEST_CASE("programs begin while engines can take them", "[admission]") {
+TEST_CASE("programs start while the load is below the bound", "[admission]") {
   REQUIRE(may_start(0, 0));
   REQUIRE(may_start(1.4, 9));
   REQUIRE_FALSE(may_start(2.5, 0));
@@ -19,21 +19,21 @@
 
 namespace {
 
-/// What callers of a burst got.
+/// Outcomes of the callers of a burst.
 struct BurstResults {
   int asked = 0;
   int in_time = 0;
   int refused = 0;
 };
 
-/// Programs of eleven turns on 352 slots; what does not fit waits in the order in which it came. A
-/// turn takes 100 ms, programs are due after 1.4 times their time on idle slots and 200 ms. Refused
-/// programs do not come back.
+/// Simulates programs of eleven turns on 352 slots; turns that find no free slot wait in FIFO
+/// order. A turn takes 100 ms; a program is in time if it finishes within 1.4 times its time on
+/// idle slots plus 200 ms. Refused programs do not retry.
 class BurstService {
  public:
   explicit BurstService(bool refuses) : refuses_(refuses) {}
 
-  /// @param rate programs a second.
+  /// @param rate programs per second.
   void send(double rate, int seconds) {
     for (int tick = 0; tick < seconds * kTicksPerSecond; ++tick) step(rate / kTicksPerSecond);
   }
@@ -45,12 +45,12 @@
   static constexpr int kTurns = 11;
   static constexpr int kTurnTicks = 10;
   static constexpr int kLatencyGoalTicks = kTurns * kTurnTicks * 14 / 10 + 20;
-  static constexpr int kReportAgeTicks = 50;  ///< age of what nodes know of the load
+  static constexpr int kReportAgeTicks = 50;  ///< age of the load known to nodes
 
   struct Program {
     int started_at = 0;
     int turns_left = kTurns;
-    int ends_at = 0;  ///< of the turn under way
+    int ends_at = 0;  ///< end of the current turn
   };
 
   void step(double arrivals) {
@@ -96,7 +96,7 @@
   BurstResults results_;
 };
 
-/// A burst of three times the usual work for 6 s; the usual work takes 60 of 100 slots.
+/// A burst of three times the normal load for 6 s; the normal load uses 60 % of the slots.
 BurstResults burst(bool refuses) {
   constexpr double kNormalRate = 0.6 * 352 / 1.1;
   BurstService service(refuses);
@@ -108,14 +108,13 @@
 
 }  // namespace
 
-TEST_CASE("refusing programs that have not begun serves more of them in time in a burst",
-          "[admission]") {
+TEST_CASE("refusing new programs in a burst finishes more programs in time", "[admission]") {
   const auto without_refusals = burst(false);
   const auto with_refusals = burst(true);
   const double before = static_cast<double>(without_refusals.in_time) / without_refusals.asked;
   const double after = static_cast<double>(with_refusals.in_time) / with_refusals.asked;
   CAPTURE(before, after, with_refusals.refused);
   REQUIRE(after > before + 0.1);
-  // Whoever is refused is refused at once, and no more than do not fit.
+  // Only the programs above the capacity are refused.
   REQUIRE(with_refusals.refused < with_refusals.asked / 3);
 }
--- a/tests/admission/program_admission_test.cpp
+++ b/tests/admission/program_admission_test.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-TEST_CASE("what a node let begin is told for some seconds", "[admission]") {
+TEST_CASE("a node reports its program starts for the fair-share window", "[admission]") {
   ProgramAdmission node(0);
   for (int program = 0; program < 3; ++program) node.admit(at_load(0), from(7), kStart);
   auto continuation = from(7);
@@ -39,7 +39,7 @@
   REQUIRE(node.told(kStart + net::Millis(4000)).empty());
 }
 
-TEST_CASE("a beacon names the tenants with the most programs when there are many", "[admission]") {
+TEST_CASE("with too many tenants a beacon reports those with the most programs", "[admission]") {
   ProgramAdmission node(0);
   for (std::int32_t tenant = 1; tenant <= 300; ++tenant) {
     for (int program = 0; program < (tenant > 290 ? 2 : 1); ++program) {
@@ -51,35 +51,34 @@
   for (std::int32_t tenant = 291; tenant <= 300; ++tenant) REQUIRE(told.at(tenant) == 2);
 }
 
-TEST_CASE("programs that other nodes let begin count against a share", "[admission]") {
+TEST_CASE("programs started on other nodes count against the fair share", "[admission]") {
   ProgramAdmission node(0);
   node.hear({{1, 30}, {2, 5}}, 4, kStart);
   REQUIRE(node.admit(at_load(1.75), from(1), kStart).refusal == Refusal::kFairShare);
   REQUIRE(node.admit(at_load(1.75), from(2), kStart).admitted());
-  // What is not told any more is forgotten.
+  // Starts that are no longer reported no longer count.
   node.hear({}, 1, kStart + net::Millis(500));
   REQUIRE(node.admit(at_load(1.75), from(1), kStart + net::Millis(500)).admitted());
 }
 
-TEST_CASE("a node that is asked far more than usual takes the others to be asked as much",
-          "[admission]") {
+TEST_CASE("a burst on one node is assumed to reach the other nodes as well", "[admission]") {
   ProgramAdmission node(0);
   node.hear({}, 50, kStart);
   int admitted = 0;
   for (int program = 0; program < 20; ++program) {
     admitted += node.admit(at_load(0.5), from(1), kStart).admitted() ? 1 : 0;
   }
-  // Fifty nodes with as many each would be far beyond the 100 slots.
+  // Twenty programs on each of fifty nodes would far exceed the 100 slots.
   REQUIRE(admitted >= 2);
   REQUIRE(admitted <= 8);
-  // One node alone may take them all.
-  ProgramAdmission alone(0);
+  // Without other nodes all of them are admitted.
+  ProgramAdmission single_node(0);
   for (int program = 0; program < 20; ++program) {
-    REQUIRE(alone.admit(at_load(0.5), from(1), kStart).admitted());
+    REQUIRE(single_node.admit(at_load(0.5), from(1), kStart).admitted());
   }
 }
 
-TEST_CASE("first turns tell how long the next ones need", "[admission]") {
+TEST_CASE("the first-turn time follows recent first turns of the service", "[admission]") {
   ProgramAdmission node(0);
   REQUIRE(node.first_turn_time("service") == net::Millis(0));
   node.record_first_turn("service", net::Millis(100));
@@ -89,7 +88,7 @@
   REQUIRE(node.first_turn_time("other") == net::Millis(0));
 }
 
-TEST_CASE("times to come back leave callers two thirds of their time", "[admission]") {
+TEST_CASE("retry delays leave callers two thirds of their remaining time", "[admission]") {
   ProgramAdmission node(0);
   auto request = from(1);
   for (int caller = 0; caller < 20; ++caller) {
--- a/tests/admission/return_schedule_test.cpp
+++ b/tests/admission/return_schedule_test.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 const net::TimePoint kStart = net::TimePoint{} + std::chrono::hours(1);
-/// One node that may let ten programs begin a second.
+/// One node with an admission rate of ten programs per second.
 const RetryPacing kTenPerSecond{10, 1, net::Millis(400), net::Millis(1000)};
 
 }  // namespace
 
-TEST_CASE("callers come back one after the other as programs may begin", "[admission]") {
+TEST_CASE("retries are spaced by the admission rate", "[admission]") {
   RetrySchedule schedule(0);
   REQUIRE(schedule.next_retry_delay(0, kTenPerSecond, kStart) == net::Millis(400));
   REQUIRE(schedule.next_retry_delay(0, kTenPerSecond, kStart) == net::Millis(500));
@@ -32,7 +32,7 @@
   REQUIRE(schedule.next_retry_delay(2, kTenPerSecond, kStart) == net::Millis(800));
 }
 
-TEST_CASE("nodes share the places by their number", "[admission]") {
+TEST_CASE("retry slots are divided among the nodes", "[admission]") {
   RetrySchedule schedule(0.5);
   RetryPacing pacing = kTenPerSecond;
   pacing.node_count = 4;
@@ -40,7 +40,7 @@
   REQUIRE(schedule.next_retry_delay(0, pacing, kStart) == net::Millis(1000));
 }
 
-TEST_CASE("times to come back are ones that callers heed", "[admission]") {
+TEST_CASE("retry delays stay within their limits", "[admission]") {
   REQUIRE(rc::check([] {
     RetrySchedule schedule(*rc::gen::inRange(0, 100) / 100.0);
     auto now = kStart;
