--- a/src/readiness/fleet_view.hpp
+++ b/src/readiness/fleet_view.hpp
@@ -1,4 +1,4 @@
-/// @file What the directory of peers tells of other zones and of the own one.
+/// @file Summaries of the peer directory, by zone.
 #pragma once
 
 #include <map>
@@ -9,11 +9,12 @@
 
 namespace sailgate::readiness {
 
-/// @param silence longest time between two signs of life of a peer.
+/// Counts the peers of this zone and of the others. @param silence time without a beacon after
+/// which a peer no longer counts as heard.
 ReadinessView build_readiness_view(const cluster::PeerDirectory& directory, net::TimePoint now,
                                    net::Millis silence);
 
-/// Last sign of life of any node, by zone; without the own one.
+/// Time of the latest beacon of any node, by zone; without this node's zone.
 std::map<std::string, net::TimePoint> last_heard_by_zone(const cluster::PeerDirectory& directory);
 
 }  // namespace sailgate::readiness
--- a/src/readiness/readiness.cpp
+++ b/src/readiness/readiness.cpp
@@ -4,27 +4,30 @@
 
 namespace {
 
-/// Other zones are heard several times a second; callers of a zone that is cut off lose what this
-/// adds to the second or two in which their entry notices.
+/// Silence of the other zones that indicates a network partition. Beacons of other zones arrive
+/// several times a second. Callers of a partitioned zone lose this time in addition to the one or
+/// two seconds that the load balancer takes to detect it.
 constexpr net::Millis kPartitionSilence{700};
-/// One call may fail by itself; silence of the other zones is a second sign, so two are enough.
+/// A single call may fail on its own. Since the silence of the other zones is a second indication,
+/// two failures are enough.
 constexpr int kPartitionMinFailures = 2;
-/// A cut ends answers and news at the same time. The last answer may be older than the cut by the
-/// time that an idle feed waits, 2.5 s; news that ended long before it is of zones that are gone.
+/// A partition stops store answers and beacons at the same time. The last answer may be up to 2.5 s
+/// older than the partition, the time for which an idle feed request waits. Zones whose beacons
+/// stopped long before the last answer are down rather than unreachable.
 constexpr net::Millis kPartitionMaxSkew{3000};
-/// Nodes elsewhere that have lost the store as well have said so by then: three calls fail within
-/// half a second and their news takes up to a second. A store that is slow for all answers some
-/// call within this time.
+/// Within this time other nodes that have lost the store as well have reported it: three calls fail
+/// within half a second, and the report takes up to one second. A store that is slow for all nodes
+/// answers at least one call within this time.
 constexpr net::Millis kStoreLossTimeout{1500};
-/// With fewer failures in a row single lost answers could be all.
+/// Fewer consecutive failures may be due to single lost answers.
 constexpr int kStoreLossMinFailures = 4;
 
 bool is_majority(int part, int whole) { return part * 2 > whole; }
 
-/// A fleet that has just begun hears other zones seldom, and a store that is slow or loses answers
-/// fails some calls in a row: that is no cut while the store answered a moment ago. Without this 23
-/// times a node of 84 stepped aside in the four seconds between a restart of half of them, beside a
-/// slow store, and the cut of a zone (counted in their logs, one run).
+/// After a restart nodes rarely hear other zones, and a store that is slow or loses answers fails
+/// several calls in a row. Neither is a partition while the store answered recently. Without this
+/// check, nodes of a fleet of 84 stepped aside 23 times in the four seconds between a restart of
+/// half of them, with a slow store, and the partition of a zone (counted in the logs of one run).
 bool store_answered_recently(const ReadinessView& view) {
   return view.store_unanswered < kPartitionSilence;
 }
--- a/src/readiness/readiness.hpp
+++ b/src/readiness/readiness.hpp
@@ -1,27 +1,31 @@
-/// @file Whether callers should be sent to this node, from what it knows of the store and of
-/// others.
+/// @file Decides whether this node is ready for callers, based on its own access to the store and
+/// on the reports of other nodes.
 ///
-/// Answers a node, or all nodes of a zone, that lose the store while callers still reach them:
-/// conversations cannot become durable there, and other nodes could serve them. A store that is
-/// slow or away for everybody looks the same to a node's own calls, but then another node is no
-/// better, and leaving only moves the load. What others tell of the store makes the difference.
+/// Handles nodes, or whole zones, that lose access to the store while callers still reach them:
+/// conversations cannot be persisted there, but other nodes could serve them. To a node's own calls
+/// a store that is slow or down for all nodes looks the same; in that case other nodes are no
+/// better, and becoming unready only shifts the load. The store status reported by other nodes
+/// tells the two cases apart.
+///
+/// A node "steps aside" when it reports itself as not ready, so that the load balancer sends
+/// callers to other nodes.
 #pragma once
 
 #include "net/asio.hpp"
 
 namespace sailgate::readiness {
 
-/// What this node knows of a group of other nodes.
+/// What this node knows about a group of other nodes.
 struct PeerGroupView {
-  int known = 0;        ///< were heard of since this process started
-  int heard = 0;        ///< were heard of lately
-  int reach_store = 0;  ///< of those heard: the store answers their own calls
-  int step_aside = 0;   ///< of those heard: they send callers elsewhere
-  net::Millis last_heard_age{net::Millis::max()};  ///< age of the last sign of life of any of them
+  int known = 0;                                   ///< heard from since this process started
+  int heard = 0;                                   ///< heard from recently
+  int reach_store = 0;                             ///< of those heard recently: can reach the store
+  int step_aside = 0;                              ///< of those heard recently: step aside
+  net::Millis last_heard_age{net::Millis::max()};  ///< age of the latest beacon of any of them
 };
 
 struct ReadinessView {
-  int store_failures = 0;           ///< calls that failed since the last answer, relayed ones too
+  int store_failures = 0;           ///< failed calls since the last answer, including relayed ones
   net::Millis store_unanswered{0};  ///< time since the last answer
   PeerGroupView own_zone;           ///< without this node
   PeerGroupView other_zones;
@@ -29,24 +33,24 @@
 
 enum class Reason {
   kStoreAnswers,
-  kStoreAwayForAll,  ///< or too early to tell
-  kCutOff,           ///< neither the store nor the other zones are heard
-  kStoreLostHere,    ///< others are heard, and the store answers them
-  kZoneStepsAside,   ///< most nodes of the zone do, and the store does not answer this one
+  kStoreAwayForAll,  ///< the store is down for all nodes, or it is too early to tell
+  kCutOff,           ///< neither the store nor the other zones can be reached
+  kStoreLostHere,    ///< other nodes can be reached and can reach the store
+  kZoneStepsAside,   ///< most nodes of the zone step aside, and calls to the store fail here
 };
 
 struct Readiness {
   bool serve = true;
   Reason reason = Reason::kStoreAnswers;
-  bool whole_zone = false;  ///< most other nodes of the zone do not reach the store either
+  bool whole_zone = false;  ///< most other nodes of the zone cannot reach the store either
 };
 
-/// Pure decision: no clock, no memory. While the last call to the store was answered it is always
-/// to serve; nodes of a zone with the same view decide alike.
+/// Pure function without clock or state. A node whose last call to the store was answered always
+/// serves. Nodes of a zone with the same view decide alike.
 Readiness decide(const ReadinessView& view);
 
-/// The other zones, or the other nodes where there is one zone only: what they tell decides whether
-/// a node that misses the store is cut off.
+/// The other zones or, with a single zone, the other nodes of it. Their reports decide whether a
+/// node that cannot reach the store is partitioned from the rest.
 const PeerGroupView& elsewhere(const ReadinessView& view);
 
 /// Stable name for logs.
--- a/src/readiness/readiness_tracker.cpp
+++ b/src/readiness/readiness_tracker.cpp
@@ -6,17 +6,18 @@
 
 namespace {
 
-/// A process that was not run for this long has old news of everybody.
+/// A process that was suspended for this long has outdated information about all nodes.
 constexpr net::Millis kMinPause{600};
-/// Time in which fresh news of all comes in after a pause.
+/// Time in which fresh beacons of all nodes arrive after a suspension.
 constexpr net::Millis kTrustAfterPause{700};
-/// The store has to answer this long was_aside callers are asked back: long enough to end a single
-/// lucky answer, short against the seconds that callers of the zone spend elsewhere.
+/// Time for which the store must answer before the node becomes ready again: long enough to rule
+/// out a single successful call, short compared with the seconds that callers of the zone spend on
+/// other nodes.
 constexpr net::Millis kMinStableTime{500};
-/// A node that leaves again this soon after its return flaps; its callers are better served by
-/// others for longer.
+/// A node that steps aside again within this time after its return is flapping; its callers are
+/// better served by other nodes for longer.
 constexpr net::Millis kFlapWindow{10'000};
-/// Each such time doubles the time to return, up to eight times: four seconds.
+/// Each flap doubles the required stable time, up to eight times its initial value: four seconds.
 constexpr int kMaxFlapDoublings = 3;
 
 constexpr net::TimePoint kNever{};
--- a/tests/readiness/gateway_readiness_test.cpp
+++ b/tests/readiness/gateway_readiness_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::int64_t kPeer = 9;
 
-/// A gateway that hears one node of another zone, as long as the test says.
+/// A gateway with one peer in another zone, whose beacons the test controls.
 struct Fixture : GatewayFixture {
   void start_with_peer() {
     start();
@@ -22,21 +22,21 @@
     row.address = "127.0.0.1";
     row.port = 1;
     gateway->state().peers.put("peer", row, net::Clock::now());
-    hear(true);
+    receive_beacon(true);
   }
 
-  void hear(bool reaches_store) {
+  void receive_beacon(bool reaches_store) {
     wire::Beacon beacon;
     beacon.incarnation = kPeer;
     beacon.reaches_store = reaches_store;
     gateway->state().peers.on_beacon(beacon, net::Clock::now());
   }
 
-  /// Lets time pass. @param heard the peer speaks meanwhile.
-  void pass(Millis span, bool heard, bool peer_reaches_store) {
+  /// Runs the gateway for `span`. @param beacons whether the peer sends beacons meanwhile.
+  void run_for(Millis span, bool beacons, bool peer_reaches_store) {
     const auto end = net::Clock::now() + span;
     run_until(context, [&] {
-      if (heard) hear(peer_reaches_store);
+      if (beacons) receive_beacon(peer_reaches_store);
       return net::Clock::now() >= end;
     });
   }
@@ -47,19 +47,19 @@
   }
 };
 
-/// Time in which callers of a node that is cut off are sent elsewhere, on a busy machine.
-constexpr Millis kTimeToLeave{1500};
+/// Time in which a partitioned node steps aside, on a busy machine.
+constexpr Millis kTimeToStepAside{1500};
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a node that is cut off sends callers elsewhere and comes back",
+TEST_CASE_METHOD(Fixture, "a partitioned node steps aside and becomes ready again afterwards",
                  "[readiness]") {
   start_with_peer();
   engine.set_script([](const auto& request) {
     return test::EngineReply{test::engine_answer(request, "done"), false, false};
   });
   table.set_mode(MemoryTable::Mode::kRefuses);
-  pass(kTimeToLeave, false, false);
+  run_for(kTimeToStepAside, false, false);
   REQUIRE_FALSE(gateway->ready());
   REQUIRE(logged({"\"steps_aside\"", "\"why\":\"cut_off\"", "\"others_heard\":"}) == 1);
   const auto plain = ask(request("GET", "/safe/x"));
@@ -75,7 +75,8 @@
   REQUIRE(logged({"\"takes_callers_again\"", "\"why\":\"store_answers\""}) == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "idle connections close when the entry has noticed", "[readiness]") {
+TEST_CASE_METHOD(Fixture, "idle connections close once the load balancer has detected the node",
+                 "[readiness]") {
   start_with_peer();
   engine.set_script([](const auto& request) {
     return test::EngineReply{test::engine_answer(request, "done"), false, false};
@@ -95,30 +96,31 @@
     closed = error == net::asio::error::eof;
   };
   net::asio::co_spawn(context, hold(), net::asio::detached);
-  pass(Millis(200), true, true);
+  run_for(Millis(200), true, true);
   table.set_mode(MemoryTable::Mode::kRefuses);
-  pass(kTimeToLeave, false, false);
+  run_for(kTimeToStepAside, false, false);
   REQUIRE_FALSE(gateway->ready());
   REQUIRE_FALSE(closed);
   run_until(context, [&] { return closed; });
 }
 
-TEST_CASE_METHOD(Fixture, "a node stays ready while the store is away for all", "[readiness]") {
+TEST_CASE_METHOD(Fixture, "a node stays ready while the store is down for all nodes",
+                 "[readiness]") {
   start_with_peer();
   table.set_mode(MemoryTable::Mode::kRefuses);
-  pass(Millis(4000), true, false);
+  run_for(Millis(4000), true, false);
   REQUIRE(gateway->ready());
   REQUIRE(logged({"\"steps_aside\""}) == 0);
 }
 
 TEST_CASE_METHOD(Fixture,
-                 "without the mechanism a node is ready until the store is silent for long",
+                 "with the mechanism disabled a node is ready until the store is silent for long",
                  "[readiness]") {
   settings.mechanisms.readiness = false;
   start_with_peer();
   table.set_mode(MemoryTable::Mode::kRefuses);
-  pass(kTimeToLeave, false, false);
+  run_for(kTimeToStepAside, false, false);
   REQUIRE(gateway->ready());
-  pass(Millis(2500), false, false);
+  run_for(Millis(2500), false, false);
   REQUIRE_FALSE(gateway->ready());
 }
--- a/tests/readiness/readiness_tracker_test.cpp
+++ b/tests/readiness/readiness_tracker_test.cpp
@@ -17,22 +17,24 @@
 constexpr Millis kTick{100};
 const TimePoint kStart{std::chrono::hours(1)};
 
-/// A zone of nodes in virtual time, beside other zones that are seen as a whole. Each node calls
-/// the store every tick; every tick each hears its zone, other zones when they speak.
+/// Simulates the nodes of one zone in virtual time; the other zones are modeled as one group. In
+/// each tick every node calls the store and receives the beacons that `World` lets through.
 class ZoneFleet {
  public:
   explicit ZoneFleet(std::size_t size) : nodes_(size) {}
 
-  /// What holds in a tick; times since the start.
+  /// Conditions of a tick, by the time since the start.
   struct World {
     std::function<bool(std::size_t node, Millis at)> store_answers = [](auto, auto) {
       return true;
     };
-    std::function<bool(std::size_t node, Millis at)> others_heard = [](auto, auto) { return true; };
+    std::function<bool(std::size_t node, Millis at)> other_zones_heard = [](auto, auto) {
+      return true;
+    };
     std::function<bool(std::size_t node, Millis at)> zone_heard = [](auto, auto) { return true; };
-    /// Of the nodes of the other zones, in parts of a hundred.
+    /// Percentage of the nodes of the other zones.
     std::function<int(Millis at)> others_reach_store = [](auto) { return 100; };
-    /// A process that does not run notes nothing.
+    /// A suspended process makes no update.
     std::function<bool(std::size_t node, Millis at)> runs = [](auto, auto) { return true; };
   };
 
@@ -47,11 +49,11 @@
     return count;
   }
   int changes(std::size_t node) const { return nodes_[node].changes; }
-  /// When the first node changed, and the last.
+  /// Time of the first and of the last change of any node.
   Millis first_change() const { return first_change_; }
   Millis last_change() const { return last_change_; }
-  /// Part of all time so far that nodes were aside.
-  double part_aside() const { return static_cast<double>(ticks_aside_) / ticks_; }
+  /// Fraction of the total node time spent aside.
+  double fraction_aside() const { return static_cast<double>(ticks_aside_) / ticks_; }
 
  private:
   struct Node {
@@ -72,11 +74,11 @@
       const bool answers = world.store_answers(i, at);
       node.failures = answers ? 0 : node.failures + 1;
       if (answers) node.answered = at;
-      if (world.others_heard(i, at)) node.heard_others = at;
+      if (world.other_zones_heard(i, at)) node.heard_others = at;
       ReadinessView view;
       view.store_failures = node.failures;
       view.store_unanswered = at - node.answered;
-      view.own_zone = zone_as_seen(world, i, at, aside_before);
+      view.own_zone = zone_view(world, i, at, aside_before);
       view.other_zones.known = 100;
       view.other_zones.last_heard_age = at - node.heard_others;
       view.other_zones.heard = view.other_zones.last_heard_age < kSilence ? 100 : 0;
@@ -88,8 +90,8 @@
     }
   }
 
-  readiness::PeerGroupView zone_as_seen(const World& world, std::size_t self, Millis at,
-                                        int aside_before) {
+  readiness::PeerGroupView zone_view(const World& world, std::size_t self, Millis at,
+                                     int aside_before) {
     readiness::PeerGroupView zone;
     zone.known = static_cast<int>(nodes_.size()) - 1;
     if (!world.zone_heard(self, at)) return zone;
@@ -115,80 +117,80 @@
 bool within(Millis at, Millis from, Millis to) { return at >= from && at < to; }
 
 constexpr std::size_t kNodes = 28;
-constexpr Millis kCutAt{5000};
-constexpr Millis kCutEnd{11'000};
+constexpr Millis kPartitionStart{5000};
+constexpr Millis kPartitionEnd{11'000};
 
 }  // namespace
 
-TEST_CASE("a zone that is cut off acts as one: all leave within a second, all return soon",
+TEST_CASE("all nodes of a partitioned zone step aside within a second and return soon afterwards",
           "[readiness]") {
   ZoneFleet fleet(kNodes);
   ZoneFleet::World world;
-  world.store_answers = [](auto, auto at) { return !within(at, kCutAt, kCutEnd); };
-  world.others_heard = world.store_answers;
+  world.store_answers = [](auto, auto at) { return !within(at, kPartitionStart, kPartitionEnd); };
+  world.other_zones_heard = world.store_answers;
   world.others_reach_store = [](auto) { return 100; };
-  fleet.run(world, kCutAt + Millis(1000));
+  fleet.run(world, kPartitionStart + Millis(1000));
   REQUIRE(fleet.aside() == kNodes);
-  REQUIRE(fleet.last_change() <= kCutAt + Millis(900));
-  ZoneFleet whole(kNodes);
-  whole.run(world, kCutEnd + Millis(1000));
-  REQUIRE(whole.aside() == 0);
-  REQUIRE(whole.changes(0) == 2);
+  REQUIRE(fleet.last_change() <= kPartitionStart + Millis(900));
+  ZoneFleet recovered(kNodes);
+  recovered.run(world, kPartitionEnd + Millis(1000));
+  REQUIRE(recovered.aside() == 0);
+  REQUIRE(recovered.changes(0) == 2);
 }
 
-TEST_CASE("a node alone that loses everything steps aside, its zone stays", "[readiness]") {
+TEST_CASE("a single partitioned node steps aside, its zone stays ready", "[readiness]") {
   ZoneFleet fleet(kNodes);
   ZoneFleet::World world;
-  const auto cut = [](std::size_t node, Millis at) {
-    return node == 3 && within(at, kCutAt, kCutEnd);
+  const auto partitioned = [](std::size_t node, Millis at) {
+    return node == 3 && within(at, kPartitionStart, kPartitionEnd);
   };
-  world.store_answers = [&](auto node, auto at) { return !cut(node, at); };
-  world.others_heard = world.store_answers;
+  world.store_answers = [&](auto node, auto at) { return !partitioned(node, at); };
+  world.other_zones_heard = world.store_answers;
   world.zone_heard = world.store_answers;
-  fleet.run(world, kCutAt + Millis(1500));
+  fleet.run(world, kPartitionStart + Millis(1500));
   REQUIRE(fleet.aside() == 1);
   REQUIRE(fleet.aside(3));
 }
 
-TEST_CASE("half of a zone that is cut off steps aside, the other half stays", "[readiness]") {
+TEST_CASE("the partitioned half of a zone steps aside, the other half stays ready", "[readiness]") {
   ZoneFleet fleet(kNodes);
   ZoneFleet::World world;
-  const auto cut = [](std::size_t node, Millis at) {
-    return node % 2 == 0 && within(at, kCutAt, kCutEnd);
+  const auto partitioned = [](std::size_t node, Millis at) {
+    return node % 2 == 0 && within(at, kPartitionStart, kPartitionEnd);
   };
-  world.store_answers = [&](auto node, auto at) { return !cut(node, at); };
-  world.others_heard = world.store_answers;
-  fleet.run(world, kCutAt + Millis(2000));
+  world.store_answers = [&](auto node, auto at) { return !partitioned(node, at); };
+  world.other_zones_heard = world.store_answers;
+  fleet.run(world, kPartitionStart + Millis(2000));
   REQUIRE(fleet.aside() == kNodes / 2);
   REQUIRE_FALSE(fleet.aside(1));
 }
 
-TEST_CASE("a store that is down for all makes nobody leave", "[readiness]") {
+TEST_CASE("no node steps aside when the store is down for all nodes", "[readiness]") {
   ZoneFleet fleet(kNodes);
   ZoneFleet::World world;
-  world.store_answers = [](auto, auto at) { return !within(at, kCutAt, kCutEnd); };
-  // The others find out a little later.
+  world.store_answers = [](auto, auto at) { return !within(at, kPartitionStart, kPartitionEnd); };
+  // The other zones detect the outage a little later.
   world.others_reach_store = [](Millis at) {
-    return within(at, kCutAt + Millis(600), kCutEnd) ? 0 : 100;
+    return within(at, kPartitionStart + Millis(600), kPartitionEnd) ? 0 : 100;
   };
-  fleet.run(world, kCutEnd + Millis(3000));
+  fleet.run(world, kPartitionEnd + Millis(3000));
   REQUIRE(fleet.first_change() == Millis(0));
 }
 
-TEST_CASE("a slow store that answers one call in ten makes nobody leave", "[readiness]") {
+TEST_CASE("no node steps aside when a slow store answers one call in ten", "[readiness]") {
   ZoneFleet fleet(kNodes);
   ZoneFleet::World world;
   world.store_answers = [](std::size_t node, Millis at) {
-    if (!within(at, kCutAt, kCutEnd)) return true;
+    if (!within(at, kPartitionStart, kPartitionEnd)) return true;
     return (static_cast<std::size_t>(at / kTick) + node) % 10 == 0;
   };
-  // Those elsewhere were lucky: most of them believe that the store answers.
+  // By chance most nodes of the other zones report that they can reach the store.
   world.others_reach_store = [](auto) { return 60; };
-  fleet.run(world, kCutEnd + Millis(3000));
+  fleet.run(world, kPartitionEnd + Millis(3000));
   REQUIRE(fleet.first_change() == Millis(0));
 }
 
-TEST_CASE("a store that comes and goes each second makes nobody leave", "[readiness]") {
+TEST_CASE("no node steps aside when the store goes up and down every second", "[readiness]") {
   ZoneFleet fleet(kNodes);
   ZoneFleet::World world;
   world.store_answers = [](auto, Millis at) { return (at / Millis(1000)) % 2 == 0; };
@@ -196,72 +198,77 @@
   REQUIRE(fleet.first_change() == Millis(0));
 }
 
-TEST_CASE("a zone whose links come and go each second leaves for longer and longer",
+TEST_CASE("a zone with links that flap every second steps aside for increasing times",
           "[readiness]") {
   ZoneFleet fleet(kNodes);
   ZoneFleet::World world;
   world.store_answers = [](auto, Millis at) { return (at / Millis(1000)) % 2 == 0; };
-  world.others_heard = world.store_answers;
+  world.other_zones_heard = world.store_answers;
   fleet.run(world, Millis(30'000));
-  // Leaves at 1.7, 3.7 and 5.7 s, with 0.5 and 1 s to return; two seconds do not come any more.
+  // Steps aside at 1.7, 3.7 and 5.7 s and returns after 0.5 and 1 s of stability. The third return
+  // needs two stable seconds, which never occur.
   REQUIRE(fleet.changes(0) == 5);
   REQUIRE(fleet.last_change() < Millis(6000));
   REQUIRE(fleet.aside() == kNodes);
-  // It returns for good when the links stay up.
-  ZoneFleet::World well;
-  ZoneFleet healed(kNodes);
-  healed.run(world, Millis(9000));
-  REQUIRE(healed.aside() == kNodes);
+  // The zone returns for good when the links stay up.
+  ZoneFleet::World healthy;
+  ZoneFleet unstable(kNodes);
+  unstable.run(world, Millis(9000));
+  REQUIRE(unstable.aside() == kNodes);
   world.store_answers = [](auto, Millis at) {
     return at >= Millis(9000) || (at / Millis(1000)) % 2 == 0;
   };
-  world.others_heard = world.store_answers;
+  world.other_zones_heard = world.store_answers;
   ZoneFleet returning(kNodes);
   returning.run(world, Millis(9000 + 4500));
   REQUIRE(returning.aside() == 0);
 }
 
-TEST_CASE("news that is late or lost makes no node leave while the store answers", "[readiness]") {
+TEST_CASE("late or lost beacons make no node step aside while the store answers", "[readiness]") {
   ZoneFleet fleet(kNodes);
   ZoneFleet::World world;
   base::Random random(1);
-  world.others_heard = [&random](auto, auto) { return random.below(20) == 0; };
+  world.other_zones_heard = [&random](auto, auto) { return random.below(20) == 0; };
   fleet.run(world, Millis(60'000));
   REQUIRE(fleet.first_change() == Millis(0));
 }
 
-TEST_CASE("lost news during an outage for all makes few nodes leave, for a short time",
+TEST_CASE("lost beacons during a store outage make few nodes step aside, for a short time",
           "[readiness]") {
   ZoneFleet fleet(kNodes);
   ZoneFleet::World world;
   base::Random random(1);
-  // Of the news of ten ticks a second two thirds are lost.
-  world.others_heard = [&random](auto, auto) { return random.below(3) == 0; };
-  world.store_answers = [](auto, auto at) { return !within(at, kCutAt, kCutEnd); };
-  world.others_reach_store = [](Millis at) { return within(at, kCutAt, kCutEnd) ? 0 : 100; };
-  fleet.run(world, kCutEnd + Millis(5000));
+  // Two thirds of the beacons, ten a second, are lost.
+  world.other_zones_heard = [&random](auto, auto) { return random.below(3) == 0; };
+  world.store_answers = [](auto, auto at) { return !within(at, kPartitionStart, kPartitionEnd); };
+  world.others_reach_store = [](Millis at) {
+    return within(at, kPartitionStart, kPartitionEnd) ? 0 : 100;
+  };
+  fleet.run(world, kPartitionEnd + Millis(5000));
   REQUIRE(fleet.aside() == 0);
-  // Measured with seed 1: 0.064 of the time of all nodes.
-  REQUIRE(fleet.part_aside() < 0.125);
+  // Measured with seed 1: 0.064 of the total node time.
+  REQUIRE(fleet.fraction_aside() < 0.125);
 }
 
-TEST_CASE("a process that was frozen waits for news before it leaves", "[readiness]") {
+TEST_CASE("a process resumed after a suspension waits for beacons before it steps aside",
+          "[readiness]") {
   ZoneFleet fleet(kNodes);
   ZoneFleet::World world;
   const auto frozen = [](std::size_t node, Millis at) {
-    return node == 2 && within(at, kCutAt, kCutEnd);
+    return node == 2 && within(at, kPartitionStart, kPartitionEnd);
   };
   world.runs = [&](auto node, auto at) { return !frozen(node, at); };
-  // Its first calls fail: their answers were due while it was frozen.
+  // Its first calls fail: their answers were due while it was suspended.
   world.store_answers = [](std::size_t node, Millis at) {
-    return !(node == 2 && within(at, kCutEnd, kCutEnd + Millis(400)));
+    return !(node == 2 && within(at, kPartitionEnd, kPartitionEnd + Millis(400)));
   };
-  world.others_heard = world.store_answers;
-  fleet.run(world, kCutEnd + Millis(3000));
+  world.other_zones_heard = world.store_answers;
+  fleet.run(world, kPartitionEnd + Millis(3000));
   REQUIRE(fleet.first_change() == Millis(0));
 }
 
-TEST_CASE("refused callers learn when another node can serve them", "[readiness]") {
+TEST_CASE("the time to fail over tells when another node can serve refused callers",
+          "[readiness]") {
   ReadinessTracker tracker;
   ReadinessView view;
   view.store_failures = 5;
@@ -273,16 +280,16 @@
   REQUIRE_FALSE(tracker.store_lost());
   REQUIRE(tracker.update(view, kStart));
   REQUIRE(tracker.store_lost());
-  // The whole zone is cut off: the entry has to notice first.
+  // The whole zone is partitioned: the load balancer has to detect it first.
   REQUIRE(tracker.time_to_failover(kStart + Millis(200)) == Millis(2000));
   REQUIRE(tracker.time_to_failover(kStart + Millis(5000)) == Millis(0));
-  // This node alone: others of the zone take retries.
+  // Only this node is partitioned: others of the zone take retries.
   view.own_zone.reach_store = 9;
   tracker.update(view, kStart + Millis(100));
   REQUIRE(tracker.time_to_failover(kStart + Millis(200)) == Millis(0));
 }
 
-TEST_CASE("a node serves turns as soon as the store answers, before callers are sent to it",
+TEST_CASE("a node serves turns as soon as the store answers, before it becomes ready",
           "[readiness]") {
   ReadinessTracker tracker;
   ReadinessView view;
