--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -34,9 +34,9 @@
 const Route* RouteTable::find(std::string_view host, std::string_view path) const {
   const auto entry = by_host_.find(normalized_host(host));
   if (entry == by_host_.end()) return nullptr;
-  const auto plain = path.substr(0, path.find('?'));
+  const auto path_without_query = path.substr(0, path.find('?'));
   for (const Route* route : entry->second) {
-    if (plain.substr(0, route->path_prefix.size()) == route->path_prefix) return route;
+    if (path_without_query.substr(0, route->path_prefix.size()) == route->path_prefix) return route;
   }
   return nullptr;
 }
@@ -50,10 +50,10 @@
   const double total =
       std::accumulate(route.services.begin(), route.services.end(), 0.0,
                       [](double sum, const WeightedService& part) { return sum + part.weight; });
-  double left = draw * total;
+  double remaining = draw * total;
   for (const auto& part : route.services) {
-    left -= part.weight;
-    if (left < 0) return part.service;
+    remaining -= part.weight;
+    if (remaining < 0) return part.service;
   }
   return route.services.back().service;
 }
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -1,4 +1,4 @@
-/// @file Route look-up in one version of the configuration.
+/// @file Route lookup in one version of the configuration.
 #pragma once
 
 #include <memory>
@@ -12,16 +12,16 @@
 
 namespace sailgate::routing {
 
-/// Immutable index over a Configuration. Shared by the requests that began under it.
+/// Immutable index over a Configuration, shared by the requests that started under it.
 class RouteTable {
  public:
   explicit RouteTable(Configuration configuration);
 
-  /// Route of `host` with the longest prefix that begins `path`; nullptr when there is none.
-  /// A port in `host` is ignored; host names compare without case.
+  /// Route of `host` with the longest prefix that matches `path`, or nullptr. A port in `host` and
+  /// the query of `path` are ignored; host names are case-insensitive.
   const Route* find(std::string_view host, std::string_view path) const;
 
-  /// @return the service's entry, or nullptr.
+  /// @return the service of this name, or nullptr.
   const Service* service(const std::string& name) const;
 
   const tenancy::TenantDirectory& tenants() const { return tenants_; }
@@ -35,7 +35,8 @@
   std::unordered_map<std::string, const Service*> services_;
 };
 
-/// Service for one request of `route`, by weight. @param draw uniform in [0, 1).
+/// Chooses the service for one request of `route` at random by weight. @param draw uniform random
+/// number in [0, 1).
 const std::string& choose_service(const Route& route, double draw);
 
 }  // namespace sailgate::routing
--- a/src/tenancy/tenant.hpp
+++ b/src/tenancy/tenant.hpp
@@ -1,4 +1,4 @@
-/// @file A tenant: whose requests they are, and how many it may send.
+/// @file A tenant: its API keys, priority and request limit.
 #pragma once
 
 #include <optional>
@@ -12,8 +12,8 @@
 struct Tenant {
   std::string name;
   std::vector<std::string>
-      key_digests;              ///< of the keys its callers present; see base::token_digest
-  std::optional<int> priority;  ///< goes before the route's; 0 is the most urgent
+      key_digests;              ///< digests of its callers' API keys; see base::token_digest
+  std::optional<int> priority;  ///< overrides the route's priority; 0 is the most urgent
   quota::Limit limit;
 };
 
--- a/src/tenancy/tenant_directory.hpp
+++ b/src/tenancy/tenant_directory.hpp
@@ -1,4 +1,4 @@
-/// @file Tenants of one version of the configuration, by the keys of their callers.
+/// @file Tenants of one version of the configuration, by API key.
 #pragma once
 
 #include <string>
@@ -9,23 +9,23 @@
 
 namespace sailgate::tenancy {
 
-/// What a caller presented to say who it is.
+/// API key that a caller presented.
 struct Credential {
-  std::size_t fields = 0;  ///< header fields that held a key
-  std::string key;         ///< of the first one; never logged
+  std::size_t fields = 0;  ///< number of header fields with a key
+  std::string key;         ///< from the first of these fields; never logged
 };
 
-/// Immutable. Holds digests of keys only, so that neither a log nor a memory dump shows a key.
+/// Immutable. Holds only digests of keys, so that neither logs nor memory dumps expose a key.
 class TenantDirectory {
  public:
   TenantDirectory() = default;
   explicit TenantDirectory(std::vector<Tenant> tenants);
 
-  /// Tenant of the credential; nullptr when it names none. More than one key field names none:
-  /// which of them counts would be a guess, and proxies on the way may guess otherwise.
+  /// Tenant of the credential, or nullptr. A request with more than one key field has no tenant:
+  /// the choice between them would be ambiguous, and proxies may choose differently.
   const Tenant* find(const Credential& credential) const;
 
-  /// Whether requests must say whose they are.
+  /// Whether requests need credentials; true if any tenant is configured.
   bool credentials_required() const { return !tenants_.empty(); }
   const std::vector<Tenant>& tenants() const { return tenants_; }
 
--- a/tests/routing/route_table_test.cpp
+++ b/tests/routing/route_table_test.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TEST_CASE("the longest prefix of the host's routes wins", "[routing]") {
+TEST_CASE("the route with the longest matching prefix of the host is chosen", "[routing]") {
   const auto routes = table();
   REQUIRE(routes.find("a.example", "/x/1")->name == "short");
   REQUIRE(routes.find("a.example", "/x/y/1")->name == "long");
@@ -37,7 +37,7 @@
   REQUIRE(routes.find("a.example", "/x/y")->name == "short");
 }
 
-TEST_CASE("host names compare without case and port, paths without query", "[routing]") {
+TEST_CASE("host case, port and query are ignored in route lookup", "[routing]") {
   const auto routes = table();
   REQUIRE(routes.find("A.Example:8080", "/x/y/1")->name == "long");
   REQUIRE(routes.find("a.example", "/z?/x/") == nullptr);
@@ -51,7 +51,7 @@
   REQUIRE(routes.find("", "/x/1") == nullptr);
 }
 
-TEST_CASE("services get their share of the draws", "[routing]") {
+TEST_CASE("services are chosen in proportion to their weights", "[routing]") {
   auto weighted = route("weighted", "a", "/");
   weighted.services = {{"first", 90}, {"second", 10}};
   REQUIRE(routing::choose_service(weighted, 0.0) == "first");
--- a/tests/tenancy/state_key_test.cpp
+++ b/tests/tenancy/state_key_test.cpp
@@ -6,7 +6,7 @@
 
 using sailgate::tenancy::StateKey;
 
-TEST_CASE("ids without a tenant are their own keys", "[tenancy]") {
+TEST_CASE("without a tenant the key is the id", "[tenancy]") {
   REQUIRE(StateKey("", "3fa81c").text() == "3fa81c");
   REQUIRE(StateKey("", "").empty());
   REQUIRE(StateKey("choir", "").empty());
@@ -22,7 +22,7 @@
 
 TEST_CASE("different pairs of tenant and id have different keys", "[tenancy]") {
   REQUIRE(rc::check([] {
-    // Few letters, so that the separator and escapes come up all the time.
+    // A small alphabet, so that separators and escapes are frequent.
     const auto word = rc::gen::container<std::string>(rc::gen::element('/', '%', '2', 'F', 'a'));
     const auto tenant = *word;
     const auto id = *rc::gen::nonEmpty(word);
--- a/tests/tenancy/tenant_directory_test.cpp
+++ b/tests/tenancy/tenant_directory_test.cpp
@@ -23,14 +23,14 @@
 
 }  // namespace
 
-TEST_CASE("each key of a tenant names it", "[tenancy]") {
+TEST_CASE("each key of a tenant identifies it", "[tenancy]") {
   const auto tenants = directory();
   REQUIRE(tenants.find({1, "k1"})->name == "choir");
   REQUIRE(tenants.find({1, "k2"})->name == "choir");
   REQUIRE(tenants.find({1, "k3"})->name == "band");
 }
 
-TEST_CASE("no key, an empty one, an unknown one and two of them name nobody", "[tenancy]") {
+TEST_CASE("missing, empty, unknown and multiple keys identify no tenant", "[tenancy]") {
   const auto tenants = directory();
   REQUIRE(tenants.find({0, ""}) == nullptr);
   REQUIRE(tenants.find({1, ""}) == nullptr);
@@ -39,7 +39,7 @@
   REQUIRE(tenants.find({2, "k1"}) == nullptr);
 }
 
-TEST_CASE("without tenants nobody is asked for a key", "[tenancy]") {
+TEST_CASE("without tenants no credentials are required", "[tenancy]") {
   REQUIRE_FALSE(TenantDirectory().credentials_required());
   REQUIRE(directory().credentials_required());
 }
