--- a/src/admission/load_bounds.hpp
+++ b/src/admission/load_bounds.hpp
@@ -36,9 +36,9 @@
 /// Position of the load within the fair-share range of the rank: 0 while there is room for all
 /// programs, 1 when none of this rank may start.
 inline double shortage(double load, int rank) {
-  const double taken = (load - load_bound(rank) + kFairShareLoadRange) / kFairShareLoadRange;
-  if (taken < 0) return 0;
-  return taken < 1 ? taken : 1;
+  const double used = (load - load_bound(rank) + kFairShareLoadRange) / kFairShareLoadRange;
+  if (used < 0) return 0;
+  return used < 1 ? used : 1;
 }
 
 }  // namespace sailgate::admission
--- a/src/admission/unheard_begins.hpp
+++ b/src/admission/unheard_begins.hpp
@@ -23,11 +23,11 @@
 /// load, 60 in 100 finish in time with this estimate instead of 43; under three times the normal
 /// load for 6 s, 68 instead of 60 to 63 (simulated time, refused callers retry after 0.4 s or
 /// later).
-/// @param recent programs that this node started within kMaxPeerReportAge. @param usual mean number
-/// of starts in an interval of that length. @param others number of other nodes that callers reach;
-/// the node knows its own requests.
-inline double estimate_unreported_starts(double recent, double usual, std::size_t others) {
-  const double excess = recent - usual - kNoiseStdDevs * std::sqrt(usual + 1);
+/// @param recent programs that this node started within kMaxPeerReportAge. @param expected mean
+/// number of starts in an interval of that length. @param others number of other nodes that callers
+/// reach; the node knows its own requests.
+inline double estimate_unreported_starts(double recent, double expected, std::size_t others) {
+  const double excess = recent - expected - kNoiseStdDevs * std::sqrt(expected + 1);
   return std::max(0.0, excess) * static_cast<double>(others);
 }
 
--- a/tests/admission/admission_fleet.cpp
+++ b/tests/admission/admission_fleet.cpp
@@ -70,7 +70,7 @@
 
 void AdmissionFleet::exchange_reports() {
   FleetReport report{now_, node_requests_, {}};
-  for (auto& node : nodes_) report.told.push_back(node.told(now_));
+  for (auto& node : nodes_) report.starts.push_back(node.told(now_));
   reports_.push_back(std::move(report));
   while (reports_.front().at + report_age_ < now_) reports_.pop_front();
   const auto& latest = reports_.front();
@@ -78,7 +78,7 @@
     admission::ProgramStartsByTenant others;
     for (std::size_t other = 0; other < nodes_.size(); ++other) {
       if (other == node) continue;
-      for (const auto& [tenant, count] : latest.told[other]) others[tenant] += count;
+      for (const auto& [tenant, count] : latest.starts[other]) others[tenant] += count;
     }
     nodes_[node].hear(std::move(others), nodes_.size(), now_);
   }
@@ -86,8 +86,8 @@
 
 int AdmissionFleet::known_requests(std::size_t node) const {
   if (reports_.empty()) return node_requests_[node];
-  const auto& told = reports_.front().requests;
-  return std::accumulate(told.begin(), told.end(), node_requests_[node] - told[node]);
+  const auto& reported = reports_.front().requests;
+  return std::accumulate(reported.begin(), reported.end(), node_requests_[node] - reported[node]);
 }
 
 std::optional<net::Millis> AdmissionFleet::refusal_delay(std::size_t node, const Program& program) {
--- a/tests/admission/admission_fleet.hpp
+++ b/tests/admission/admission_fleet.hpp
@@ -78,8 +78,8 @@
   /// Reports of all nodes at one time; they arrive `report_age_` late.
   struct FleetReport {
     net::TimePoint at;
-    std::vector<int> requests;                           ///< by node
-    std::vector<admission::ProgramStartsByTenant> told;  ///< by node
+    std::vector<int> requests;                             ///< by node
+    std::vector<admission::ProgramStartsByTenant> starts;  ///< by node
   };
 
   void step();
--- a/tests/admission/program_admission_test.cpp
+++ b/tests/admission/program_admission_test.cpp
@@ -46,9 +46,9 @@
       node.admit(at_load(0), from(tenant), kStart);
     }
   }
-  const auto told = node.told(kStart);
-  REQUIRE(told.size() == 200);
-  for (std::int32_t tenant = 291; tenant <= 300; ++tenant) REQUIRE(told.at(tenant) == 2);
+  const auto reported = node.told(kStart);
+  REQUIRE(reported.size() == 200);
+  for (std::int32_t tenant = 291; tenant <= 300; ++tenant) REQUIRE(reported.at(tenant) == 2);
 }
 
 TEST_CASE("programs started on other nodes count against the fair share", "[admission]") {
--- a/tests/readiness/readiness_test.cpp
+++ b/tests/readiness/readiness_test.cpp
@@ -51,7 +51,7 @@
   });
 }
 
-TEST_CASE("a node stays ready while the other zones report that they cannot reach the store",
+TEST_CASE("a node stays ready while other zones miss the store too, whatever its own zone does",
           "[readiness]") {
   rc::check([] {
     auto others = random_peers();
