--- a/src/admission/service_load.cpp
+++ b/src/admission/service_load.cpp
@@ -10,9 +10,9 @@
 
 /// Whether the engine has recently failed for this node or for many nodes.
 bool is_failing(const balancing::Engine& engine, net::TimePoint now) {
-  if (engine.left_to_probe) return true;
+  if (engine.awaiting_probe) return true;
   return balancing::failed_lately(engine, now) &&
-         engine.consecutive_failures >= balancing::kFailuresOfManyNodes;
+         engine.consecutive_failures >= balancing::kSharedFailureThreshold;
 }
 
 }  // namespace
--- a/src/cluster/fleet_usage.cpp
+++ b/src/cluster/fleet_usage.cpp
@@ -22,7 +22,7 @@
 class UsageSum {
  public:
   UsageSum(std::int32_t tenant, net::TimePoint now, net::Millis silence, net::Millis window)
-      : tenant_(tenant), now_(now), news_age_(NewsAge::within(silence)), window_(window) {}
+      : tenant_(tenant), now_(now), news_age_(FreshnessDecay::within(silence)), window_(window) {}
 
   void add(const TenantUsages& reports, net::TimePoint reported_at) {
     const auto found = reports.find(tenant_);
@@ -57,7 +57,7 @@
 
   std::int32_t tenant_;
   net::TimePoint now_;
-  NewsAge news_age_;
+  FreshnessDecay news_age_;
   net::Millis window_;
   PeerUsage sum_;
 };
@@ -65,10 +65,11 @@
 /// Number of nodes covered by a zone summary, each weighted by the freshness of its report. Nodes
 /// of the zone that are known only from other sources are not counted: right after a network
 /// partition heals, a summary made on one side covered only half of the admitted requests.
-double fresh_summary_members(const ZoneSums& sum, net::TimePoint now, const NewsAge& news_age) {
-  const auto age = between(sum.taken_at, now);
+double fresh_summary_members(const ZoneSums& sum, net::TimePoint now,
+                             const FreshnessDecay& news_age) {
+  const auto age = between(sum.summarized_at, now);
   double nodes = 0;
-  for (const auto silent : sum.members_silent) nodes += news_age.weight(age + silent);
+  for (const auto silent : sum.member_silence) nodes += news_age.weight(age + silent);
   return nodes;
 }
 
@@ -79,11 +80,11 @@
   UsageSum sum(tenant, now, silence, window);
   const auto& zones = directory.zone_sums();
   for (const auto& [zone, known] : zones) {
-    sum.add(known.told.tenants, known.taken_at - kSummaryInputAge);
-    for (const auto& lost : known.lost) sum.add(lost.tenants, lost.told_at - kSummaryInputAge);
+    sum.add(known.stats.tenants, known.summarized_at - kSummaryInputAge);
+    for (const auto& lost : known.lost) sum.add(lost.tenants, lost.reported_at - kSummaryInputAge);
   }
   for (const auto& [node, peer] : directory.peers()) {
-    if (zones.count(peer.zone) == 0) sum.add(peer.told.tenants, peer.last_heard);
+    if (zones.count(peer.zone) == 0) sum.add(peer.stats.tenants, peer.last_heard);
   }
   for (const auto& [incarnation, departed] : directory.departed().all()) {
     if (zones.count(departed.zone) == 0) sum.add(departed.tenants, departed.last_heard);
@@ -93,13 +94,13 @@
 
 Membership membership_of(const PeerDirectory& directory, net::TimePoint now, net::Millis silence,
                          net::Millis window, net::TimePoint started_at) {
-  const auto news_age = NewsAge::within(silence);
+  const auto news_age = FreshnessDecay::within(silence);
   Membership membership;
   const auto add_start = [&](const std::string& node, net::TimePoint start) {
     const auto served = between(start, now);
     if (served >= window) return;
     // Reports of the node's earlier processes are counted separately.
-    const auto uncovered = directory.departed().untold(node, now - window, start);
+    const auto uncovered = directory.departed().unreported_time(node, now - window, start);
     // Spans are evaluated in steps of one bucket, so up to one more bucket may be missing.
     const auto before = std::min(window, uncovered + quota::bucket_length(window));
     membership.restarted_share += 1;
@@ -113,7 +114,7 @@
     ++membership.known;
     add_start(node, peer.started_at);
     ++known_in_zone[peer.zone];
-    if (!peer.told_of_itself) continue;
+    if (!peer.has_reported) continue;
     if (now < peer.last_heard + silence) ++membership.heard;
     const bool summed = directory.zone_sums().count(peer.zone) > 0;
     if (!summed) membership.fresh += news_age.weight(between(peer.last_heard, now));
@@ -124,7 +125,7 @@
     ++membership.known;
     const auto sum = directory.zone_sums().find(departed.zone);
     const bool summed = sum != directory.zone_sums().end();
-    const auto reported_at = summed ? sum->second.taken_at : departed.last_heard;
+    const auto reported_at = summed ? sum->second.summarized_at : departed.last_heard;
     membership.fresh += news_age.weight(between(reported_at, now));
   }
   for (const auto& [zone, sum] : directory.zone_sums()) {
--- a/src/cluster/peer_directory.cpp
+++ b/src/cluster/peer_directory.cpp
@@ -263,7 +263,7 @@
   NodeStats sum;
   const auto add = [&](const Peer& peer) {
     const bool heard = now < peer.last_heard + silence;
-    add_usages(peer.stats.tenants, {between(peer.last_heard, now), window, heard}, sum.tenants);
+    merge_usages(peer.stats.tenants, {between(peer.last_heard, now), window, heard}, sum.tenants);
     if (!heard) return;
     summary.members.push_back(make_member(peer, now));
     sum.add(peer.stats);
@@ -275,7 +275,7 @@
   for (const auto& [incarnation, departed] : departed_.all()) {
     if (departed.zone != zone_) continue;
     const bool heard = now < departed.last_heard + silence;
-    add_usages(departed.tenants, {between(departed.last_heard, now), window, heard}, sum.tenants);
+    merge_usages(departed.tenants, {between(departed.last_heard, now), window, heard}, sum.tenants);
   }
   write_stats(sum, summary);
   return summary;
--- a/src/cluster/told_figures.hpp
+++ b/src/cluster/told_figures.hpp
@@ -23,7 +23,7 @@
   TenantUsages tenants;  ///< admitted requests by tenant
 
   /// Adds everything except tenants' usage, whose contribution depends on its age (see
-  /// add_usages()). Speeds become the mean weighted by samples.
+  /// merge_usages()). Speeds become the mean weighted by samples.
   void add(const NodeStats& other);
 };
 
--- a/src/cluster/turn_coordinator.cpp
+++ b/src/cluster/turn_coordinator.cpp
@@ -38,8 +38,8 @@
 }
 
 /// HTTP status of a holder's answer to a request for its unused tokens.
-net::http::status status_of(const ledger::GiveBackResult& result) {
-  if (result.given) return net::http::status::ok;
+net::http::status status_of(const ledger::ReleaseResult& result) {
+  if (result.released) return net::http::status::ok;
   return result.complete ? net::http::status::no_content : net::http::status::service_unavailable;
 }
 
@@ -92,7 +92,7 @@
     // Waiting for the store would delay the program, and most turns use far less than their
     // maximum.
     start.reserved =
-        ledger_.budgets.reserve_rest(request.program.text(), request.tokens, request.budget);
+        ledger_.budgets.reserve_remaining(request.program.text(), request.tokens, request.budget);
     if (start.reserved > 0) co_return;
   }
   start.reservation = co_await reserve_full(request, deadline);
@@ -104,7 +104,7 @@
   auto outcome = co_await ledger_.budgets.reserve(request.program.text(), request.tokens,
                                                   request.budget, deadline);
   if (outcome != ReserveOutcome::kExhausted) co_return outcome;
-  if (ledger_.budgets.exhausted_lately(request.program.text(), request.tokens)) co_return outcome;
+  if (ledger_.budgets.recently_exhausted(request.program.text(), request.tokens)) co_return outcome;
   const auto reclaimed = co_await reclaim_unused_tokens(request.program.text());
   if (reclaimed.released) {
     outcome = co_await ledger_.budgets.reserve(request.program.text(), request.tokens,
@@ -115,7 +115,7 @@
   if (!reclaimed.all_answered) co_return ReserveOutcome::kUnavailable;
   // The owner of the program's shard may hold escrowed tokens that this node does not know of.
   if (!has_full_budget_view(request.program.text())) co_return ReserveOutcome::kUnavailable;
-  ledger_.budgets.note_exhausted(request.program.text(), request.tokens);
+  ledger_.budgets.mark_exhausted(request.program.text(), request.tokens);
   co_return outcome;
 }
 
@@ -162,7 +162,7 @@
   if (start.previous == nullptr) message.previous = request.previous.text();
   message.tokens = request.tokens;
   message.budget = request.budget;
-  const auto store_time = std::clamp(ledger_.budgets.store_patience() * kHomeStoreAttempts,
+  const auto store_time = std::clamp(ledger_.budgets.store_call_timeout() * kHomeStoreAttempts,
                                      kMinHomeStoreTime, kMaxHomeStoreTime);
   const auto timeout =
       std::max(std::min(store_time + kHomeMargin, time_until(deadline)), net::Millis(1));
@@ -197,7 +197,7 @@
   if (!message.previous.empty()) {
     start.lookup = static_cast<LookupOutcome>(reply->lookup);
     if (start.lookup == LookupOutcome::kFound) {
-      start.previous = ledger_.turns.remember_chain(reply->chain, nullptr);
+      start.previous = ledger_.turns.cache_chain(reply->chain, nullptr);
     }
   }
   co_return start.lookup != LookupOutcome::kUnavailable&& start.reservation !=
@@ -246,7 +246,7 @@
   if (end.reserved > 0) message.__set_reservation_id(start.reservation_id);
   message.used = end.used;
   message.engine = end.engine;
-  if (end.turn != nullptr) message.chain = ledger::encode_whole_chain(*end.turn);
+  if (end.turn != nullptr) message.chain = ledger::encode_chain(*end.turn);
   net::asio::co_spawn(context_, end_remotely(*peer, std::move(message)), net::asio::detached);
 }
 
@@ -314,13 +314,13 @@
   reply.reservation = static_cast<wire::TurnReservation::type>(start.reservation);
   reply.engine = start.engine;
   reply.reserved = start.reserved;
-  if (start.previous != nullptr) reply.chain = ledger::encode_whole_chain(*start.previous);
+  if (start.previous != nullptr) reply.chain = ledger::encode_chain(*start.previous);
   response.body() = wire::encode(reply);
 }
 
 void TurnCoordinator::record_end(const wire::EndTurn& message) {
   if (!message.engine.empty()) placements_.note(message.program, message.line, message.engine);
-  if (!message.chain.segments.empty()) ledger_.turns.remember_chain(message.chain, nullptr);
+  if (!message.chain.segments.empty()) ledger_.turns.cache_chain(message.chain, nullptr);
 }
 
 void TurnCoordinator::serve_end(const net::TextRequest& request) {
--- a/src/readiness/fleet_view.cpp
+++ b/src/readiness/fleet_view.cpp
@@ -23,7 +23,7 @@
                                    net::Millis silence) {
   ReadinessView view;
   for (const auto& [node, peer] : directory.peers()) {
-    if (!peer.told_of_itself) continue;
+    if (!peer.has_reported) continue;
     add_peer(peer, now, silence, peer.zone == directory.zone() ? view.own_zone : view.other_zones);
   }
   return view;
@@ -32,7 +32,7 @@
 std::map<std::string, net::TimePoint> last_heard_by_zone(const cluster::PeerDirectory& directory) {
   std::map<std::string, net::TimePoint> newest;
   for (const auto& [node, peer] : directory.peers()) {
-    if (!peer.told_of_itself || peer.zone == directory.zone()) continue;
+    if (!peer.has_reported || peer.zone == directory.zone()) continue;
     auto& last_heard = newest[peer.zone];
     last_heard = std::max(last_heard, peer.last_heard);
   }
--- a/src/serving/node_state.hpp
+++ b/src/serving/node_state.hpp
@@ -15,7 +15,7 @@
 #include "cluster/peer_directory.hpp"
 #include "cluster/store_relay.hpp"
 #include "cluster/tenant_quotas.hpp"
-#include "cluster/turn_keeper.hpp"
+#include "cluster/turn_coordinator.hpp"
 #include "ledger/expiry_sweeper.hpp"
 #include "ledger/program_ledger.hpp"
 #include "observe/structured_log.hpp"
@@ -69,7 +69,7 @@
     ledger.turns.set_overlapping(settings.mechanisms.holding);
     peers.set_incarnation(incarnation);
     beacons.set_usage_window(settings.quota_bounds.window);
-    beacons.set_urgent_check([this] { return quotas.wants_to_tell(); });
+    beacons.set_urgent_check([this] { return quotas.report_due(); });
   }
 
   /// What this node tells its peers.
@@ -158,7 +158,7 @@
   cluster::StoreRelay store;          ///< the table store, through a peer where need be
   ledger::ProgramLedger ledger;
   cluster::BeaconSender beacons;
-  cluster::TurnKeeper turns;
+  cluster::TurnCoordinator turns;
   ledger::ExpirySweeper sweeper;
   readiness::ReadinessTracker readiness;  ///< always ready without its mechanism
   GatewayMetrics metrics;
--- a/src/serving/reach_watch.cpp
+++ b/src/serving/reach_watch.cpp
@@ -23,19 +23,19 @@
 }
 
 void ReachWatch::take_readiness(net::TimePoint now) {
-  auto view = readiness::view_of(state_.peers, now, state_.beacons.silence_limit());
+  auto view = readiness::build_readiness_view(state_.peers, now, state_.beacons.silence_limit());
   const auto& others = readiness::elsewhere(view);
-  if (others.known > 0 && others.newest_news >= kSilenceToVerify) state_.store.verify();
+  if (others.known > 0 && others.last_heard_age >= kSilenceToVerify) state_.store.verify();
   const auto& reachability = state_.store.reachability();
   view.store_failures = reachability.failures_in_a_row();
   view.store_unanswered = reachability.unanswered(now);
   auto& tracker = state_.readiness;
-  if (tracker.note(view, now)) {
+  if (tracker.update(view, now)) {
     log_readiness(view);
     state_.metrics.set_steps_aside(tracker.steps_aside());
     idle_closed_ = false;
   }
-  const bool noticed = tracker.aside_for(now) >= readiness::kEntryNotices;
+  const bool noticed = tracker.time_aside(now) >= readiness::kLoadBalancerDetectionTime;
   if (!noticed || idle_closed_ || state_.stopping) return;
   idle_closed_ = true;
   close_idle_connections_();
@@ -54,7 +54,7 @@
       .with("others_known", view.other_zones.known)
       .with("others_heard", view.other_zones.heard)
       .with("others_reach_store", view.other_zones.reach_store)
-      .with("others_news_ms", view.other_zones.newest_news.count());
+      .with("others_news_ms", view.other_zones.last_heard_age.count());
 }
 
 net::asio::awaitable<void> ReachWatch::try_zone(balancing::EnginePointer engine) {
@@ -66,7 +66,7 @@
 }
 
 void ReachWatch::take_zone_reach(net::TimePoint now) {
-  for (const auto& [zone, at] : readiness::newest_signs(state_.peers)) {
+  for (const auto& [zone, at] : readiness::last_heard_by_zone(state_.peers)) {
     zone_reach_.record_contact(zone, at);
   }
   std::map<std::string, std::vector<balancing::EnginePointer>> elsewhere;
--- a/tests/admission/service_load_test.cpp
+++ b/tests/admission/service_load_test.cpp
@@ -42,7 +42,7 @@
   REQUIRE(measure(some_engines).slots == 16);
   REQUIRE(measure(some_engines).lost_slots == 16);
   REQUIRE(measure(some_engines).load == Approx(1.5));
-  some_engines[2]->left_to_probe = true;
+  some_engines[2]->awaiting_probe = true;
   REQUIRE(measure(some_engines).slots == 8);
 }
 
@@ -57,7 +57,7 @@
 
 TEST_CASE("a node to which all engines seem to fail counts them all", "[admission]") {
   auto some_engines = engines(2, 4);
-  for (auto& engine : some_engines) engine->left_to_probe = true;
+  for (auto& engine : some_engines) engine->awaiting_probe = true;
   REQUIRE(measure(some_engines).slots == 16);
   REQUIRE(measure(some_engines).load == Approx(0.5));
 }
--- a/tests/cluster/quota_fleet.cpp
+++ b/tests/cluster/quota_fleet.cpp
@@ -45,7 +45,7 @@
       now_ + net::Millis(static_cast<std::int64_t>(random_.below(kBeaconInterval.count())));
   node.next_summary = now_ + kBeaconInterval;
   // Every node knows every other one from the rows of the store.
-  node.directory->note_complete();
+  node.directory->mark_complete();
   const auto introduce = [&](Node& to, const Node& of) {
     wire::PeerRow row;
     row.incarnation = of.incarnation;
@@ -72,7 +72,7 @@
   const auto uptime = std::chrono::duration_cast<net::Millis>(now_ - node.started_at);
   beacon.__set_uptime_ms(static_cast<std::int32_t>(uptime.count()));
   beacon.__set_sent_ms(uptime.count());
-  auto silent = node.directory->silent_to_pass_on(now_, kSilence, kWindow, node.turn++);
+  auto silent = node.directory->silent_processes_to_relay(now_, kSilence, kWindow, node.turn++);
   if (!silent.empty()) beacon.__set_silent(std::move(silent));
   return beacon;
 }
@@ -90,7 +90,7 @@
   send_to_zone(node, beacon);
   node.stalls.tick(now_, kMaxTickInterval);
   node.next_beacon = now_ + kBeaconInterval;
-  node.urgent_from = now_ + cluster::BeaconSender::shortest_gap(nodes_.size());
+  node.urgent_from = now_ + cluster::BeaconSender::min_send_gap(nodes_.size());
 }
 
 void QuotaFleet::send_to_zone(const Node& from, const std::shared_ptr<const wire::Beacon>& beacon) {
@@ -121,7 +121,7 @@
       now_ +
       net::Millis(static_cast<std::int64_t>(random_.below(static_cast<std::uint64_t>(longest))));
   if (node.stalls.resumed_within(kBeaconInterval, now_)) return;
-  if (!node.directory->hears_zone(now_, kSilence)) return;
+  if (!node.directory->heard_half_of_zone(now_, kSilence)) return;
   auto beacon = beacon_of(node);
   beacon.__set_summary(node.directory->summarize_zone(beacon, now_, kSilence, kWindow));
   const auto shared = std::make_shared<const wire::Beacon>(std::move(beacon));
