--- a/src/cluster/store_relay.cpp
+++ b/src/cluster/store_relay.cpp
@@ -160,7 +160,7 @@
 net::asio::awaitable<void> StoreRelay::probe_space() {
   space_probed_at_ = net::Clock::now();
   store::Transaction transaction;
-  const auto part = store::part_of(directory_.self());
+  const auto part = store::partition_of(directory_.self());
   transaction.puts.push_back({{kSpaceTable, part, directory_.self()}, "", 0, false});
   co_await transact(std::move(transaction), kOverlappingProbeTimeout);
 }
@@ -194,7 +194,7 @@
 
 net::asio::awaitable<void> StoreRelay::probe_twice() {
   co_await probe(kProbeTimeout);
-  if (reachability_.failures_in_a_row() > 0) co_await probe(kProbeTimeout);
+  if (reachability_.consecutive_failures() > 0) co_await probe(kProbeTimeout);
   verifying_ = false;
 }
 
--- a/src/cluster/store_relay.hpp
+++ b/src/cluster/store_relay.hpp
@@ -92,7 +92,7 @@
   bool direct_works_ = true;
   store::Reachability reachability_;
   store::StoreClock clock_;
-  store::SpaceWatch space_;
+  store::SpaceMonitor space_;
   net::TimePoint space_probed_at_{};
   std::uint64_t probes_ = 0;
   bool verifying_ = false;
--- a/src/ledger/budget_ledger.cpp
+++ b/src/ledger/budget_ledger.cpp
@@ -100,11 +100,11 @@
 }
 
 store::RowId BudgetLedger::budget_row(const std::string& program, std::size_t share) {
-  return {kBudgetTable, store::candidate_parts(program)[share], program};
+  return {kBudgetTable, store::candidate_partitions(program)[share], program};
 }
 
 std::vector<std::size_t> BudgetLedger::shares_by_health(const std::string& program) const {
-  auto parts = store::candidate_parts(program);
+  auto parts = store::candidate_partitions(program);
   parts.resize(kBudgetShares);
   // Holders start with different shares, which reduces write conflicts.
   auto rotated = parts;
@@ -150,7 +150,7 @@
     }
     if (!written) fresh = co_await read_shares(id, program, request.deadline);
     if (!written && fresh) continue;
-    const auto pause = pace.next_pause(random_);
+    const auto pause = pace.next_backoff(random_);
     if (!pause) break;
     co_await net::sleep_for(context_, *pause);
   }
@@ -158,7 +158,7 @@
 }
 
 net::asio::awaitable<std::optional<StoreStatus>> BudgetLedger::raise_grant_in_shares(
-    std::string id, ProgramPointer program, TokenRequest request, store::Pace& pace) {
+    std::string id, ProgramPointer program, TokenRequest request, store::RetryBackoff& pace) {
   std::optional<StoreStatus> last;
   for (const auto share : shares_by_health(id)) {
     auto row = program->account.plan_grant(share, request.tokens, request.from_rows);
--- a/src/ledger/budget_ledger.hpp
+++ b/src/ledger/budget_ledger.hpp
@@ -57,7 +57,7 @@
   void settle(const std::string& program, std::int64_t reserved, std::int64_t used);
 
   /// Time within which the store is expected to respond.
-  net::Millis store_call_timeout() const { return store_.patience(); }
+  net::Millis store_call_timeout() const { return store_.attempt_timeout(); }
   store::LatencyEstimate& latency() { return store_.latency(); }
 
   /// Returns the program's unused tokens to the store.
@@ -131,7 +131,7 @@
   /// Increases the grant in one share after the other until the request is covered.
   /// @return status of the last write; nullopt if no share is known to have unallocated tokens.
   net::asio::awaitable<std::optional<store::StoreStatus>> raise_grant_in_shares(
-      std::string id, ProgramPointer program, TokenRequest request, store::Pace& pace);
+      std::string id, ProgramPointer program, TokenRequest request, store::RetryBackoff& pace);
   /// Reads the rows of all shares. @return whether all reads succeeded.
   net::asio::awaitable<bool> read_shares(std::string id, ProgramPointer program,
                                          net::TimePoint deadline);
@@ -163,7 +163,7 @@
   base::Random random_;
   const store::StoreClock& clock_;
   EscrowClaims& escrow_;
-  store::PartHealth budget_parts_;
+  store::PartitionHealth budget_parts_;
   observe::StructuredLog& log_;
   std::int64_t holder_;
   std::unordered_map<std::string, ProgramPointer> programs_;
--- a/src/ledger/expiry_sweeper.cpp
+++ b/src/ledger/expiry_sweeper.cpp
@@ -84,13 +84,13 @@
 }
 
 net::Millis ExpirySweeper::pause() const {
-  return SweepSchedule::pause(nodes_(), store::part_count(), full_());
+  return SweepSchedule::pause(nodes_(), store::partition_count(), full_());
 }
 
 net::asio::awaitable<void> ExpirySweeper::run() {
   while (true) {
     co_await net::sleep_for(context_, pause());
-    co_await sweep_part(store::part_name(random_.below(store::part_count())));
+    co_await sweep_part(store::partition_name(random_.below(store::partition_count())));
   }
 }
 
--- a/src/ledger/turn_ledger.cpp
+++ b/src/ledger/turn_ledger.cpp
@@ -36,7 +36,7 @@
   if (--reads->pending == 0) reads->ended.cancel();
 }
 
-net::asio::awaitable<std::vector<store::RowFound>> TurnLedger::read_rows(
+net::asio::awaitable<std::vector<store::RowLookupResult>> TurnLedger::read_rows(
     std::vector<std::string> ids, net::TimePoint deadline) {
   const auto reads = std::make_shared<RowReads>(context_, ids.size());
   reads->ended.expires_at(net::TimePoint::max());
--- a/src/ledger/turn_ledger.hpp
+++ b/src/ledger/turn_ledger.hpp
@@ -52,7 +52,7 @@
     RowReads(net::asio::io_context& context, std::size_t count)
         : ended(context), found(count), pending(count) {}
     net::asio::steady_timer ended;  ///< cancelled when the last read ends
-    std::vector<store::RowFound> found;
+    std::vector<store::RowLookupResult> found;
     std::size_t pending;
   };
   /// Rows of a chain in the order they were read, newest first.
@@ -63,8 +63,8 @@
   };
 
   net::asio::awaitable<ChainRead> read_chain(std::string id, net::TimePoint deadline);
-  net::asio::awaitable<std::vector<store::RowFound>> read_rows(std::vector<std::string> ids,
-                                                               net::TimePoint deadline);
+  net::asio::awaitable<std::vector<store::RowLookupResult>> read_rows(std::vector<std::string> ids,
+                                                                      net::TimePoint deadline);
   net::asio::awaitable<void> read_row(std::shared_ptr<RowReads> reads, std::size_t index,
                                       std::string id, net::TimePoint deadline);
   /// Returns the ancestors of a row that must be read, nearest first. @param known set to the
@@ -79,7 +79,7 @@
 
   net::asio::io_context& context_;
   const store::StoreClock& clock_;
-  store::UnchangingRows rows_;
+  store::ImmutableRows rows_;
   observe::StructuredLog& log_;
   TurnCache cache_;
 };
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -15,14 +15,14 @@
   while (!idle_.empty()) {
     auto connection = std::move(idle_.back());
     idle_.pop_back();
-    if (peek(connection->stream.socket()) == SocketState::kQuiet) co_return connection;
+    if (peek(connection->stream.socket()) == SocketState::kIdle) co_return connection;
   }
   auto connection = std::make_unique<Connection>(context_, server_);
   connection->stream.expires_at(deadline);
   Error error;
   co_await connection->stream.async_connect(connection->server, awaiting(error));
   if (error) co_return nullptr;
-  tune(connection->stream.socket());
+  set_tcp_options(connection->stream.socket());
   co_return connection;
 }
 
@@ -54,7 +54,7 @@
     if (!error) result.response = parser.release();
   }
   if (error) {
-    result.failure = ExchangeFailure::kNoAnswer;
+    result.failure = ExchangeFailure::kNoResponse;
     co_return result;
   }
   const bool reusable = result.response.keep_alive() && connection->buffer.size() == 0 &&
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -18,8 +18,8 @@
 /// Why an exchange gave no response.
 enum class ExchangeFailure {
   kNone,
-  kNotSent,   ///< no connection: the server has seen nothing of the request
-  kNoAnswer,  ///< the request may have been taken
+  kNotSent,     ///< no connection: the server has seen nothing of the request
+  kNoResponse,  ///< the request may have been taken
 };
 
 struct ExchangeResult {
--- a/src/net/socket_state.cpp
+++ b/src/net/socket_state.cpp
@@ -19,12 +19,12 @@
   const auto got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (got > 0) return SocketState::kData;
   if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) {
-    return SocketState::kQuiet;
+    return SocketState::kIdle;
   }
   return SocketState::kClosed;
 }
 
-void tune(asio::ip::tcp::socket& socket) {
+void set_tcp_options(asio::ip::tcp::socket& socket) {
   Error ignored;
   socket.set_option(asio::ip::tcp::no_delay(true), ignored);
   const int timeout = kUserTimeoutMs;
--- a/src/net/socket_state.hpp
+++ b/src/net/socket_state.hpp
@@ -6,7 +6,7 @@
 namespace sailgate::net {
 
 enum class SocketState {
-  kQuiet,   ///< open, nothing to read
+  kIdle,    ///< open, nothing to read
   kData,    ///< bytes wait to be read
   kClosed,  ///< the peer closed or reset it
 };
@@ -15,6 +15,6 @@
 SocketState peek(asio::ip::tcp::socket& socket);
 
 /// Disables Nagle's algorithm and bounds how long a silent peer goes unnoticed.
-void tune(asio::ip::tcp::socket& socket);
+void set_tcp_options(asio::ip::tcp::socket& socket);
 
 }  // namespace sailgate::net
--- a/src/net/text_server.cpp
+++ b/src/net/text_server.cpp
@@ -37,7 +37,7 @@
 
 asio::awaitable<void> TextServer::serve(asio::ip::tcp::socket socket) {
   ++open_;
-  tune(socket);
+  set_tcp_options(socket);
   beast::tcp_stream stream(std::move(socket));
   beast::flat_buffer buffer;
   Error error;
--- a/src/serving/engine_connection_pool.cpp
+++ b/src/serving/engine_connection_pool.cpp
@@ -22,7 +22,7 @@
     auto connection = std::move(connections.back());
     connections.pop_back();
     const bool fresh = now < connection->usable_until;
-    if (fresh && net::peek(connection->stream.socket()) == net::SocketState::kQuiet) {
+    if (fresh && net::peek(connection->stream.socket()) == net::SocketState::kIdle) {
       connection->reused = true;
       return connection;
     }
@@ -40,7 +40,7 @@
   const auto endpoint = engine.record.endpoint;
   co_await connection->stream.async_connect(endpoint, net::awaiting(error));
   if (error) co_return nullptr;
-  net::tune(connection->stream.socket());
+  net::set_tcp_options(connection->stream.socket());
   co_return connection;
 }
 
--- a/src/serving/gateway.cpp
+++ b/src/serving/gateway.cpp
@@ -134,7 +134,7 @@
       co_await net::sleep_for(context_, kAcceptPause);
       continue;
     }
-    net::tune(socket);
+    net::set_tcp_options(socket);
     auto session = std::make_shared<CallerSession>(state_, std::move(socket));
     net::asio::co_spawn(context_, serve(std::move(session)), net::asio::detached);
   }
--- a/src/serving/reach_watch.cpp
+++ b/src/serving/reach_watch.cpp
@@ -27,7 +27,7 @@
   const auto& others = readiness::elsewhere(view);
   if (others.known > 0 && others.last_heard_age >= kSilenceToVerify) state_.store.verify();
   const auto& reachability = state_.store.reachability();
-  view.store_failures = reachability.failures_in_a_row();
+  view.store_failures = reachability.consecutive_failures();
   view.store_unanswered = reachability.unanswered(now);
   auto& tracker = state_.readiness;
   if (tracker.update(view, now)) {
--- a/src/serving/store_feeds.cpp
+++ b/src/serving/store_feeds.cpp
@@ -41,7 +41,7 @@
 }
 
 void StoreFeeds::maintain(net::TimePoint now) {
-  if (!engine_follower_.entries_may_return(now)) state_.engines.remove_stale();
+  if (!engine_follower_.entries_may_be_missing(now)) state_.engines.remove_stale();
   share_store_version();
 }
 
@@ -71,12 +71,12 @@
 
 store::FollowerCallbacks StoreFeeds::peer_callbacks() {
   store::FollowerCallbacks callbacks;
-  callbacks.on_whole = [this](const std::vector<store::Row>& rows) {
+  callbacks.on_snapshot = [this](const std::vector<store::Row>& rows) {
     for (const auto& row : rows) take_peer(row);
     state_.peers.mark_complete();
   };
   callbacks.on_change = [this](const store::Row& row) { take_peer(row); };
-  callbacks.on_contact = [](bool) {};
+  callbacks.on_reachability = [](bool) {};
   return callbacks;
 }
 
@@ -102,23 +102,23 @@
 
 store::FollowerCallbacks StoreFeeds::configuration_callbacks() {
   store::FollowerCallbacks callbacks;
-  callbacks.on_whole = [this](const std::vector<store::Row>& rows) {
+  callbacks.on_snapshot = [this](const std::vector<store::Row>& rows) {
     for (const auto& row : rows) take_configuration(row);
   };
   callbacks.on_change = [this](const store::Row& row) { take_configuration(row); };
-  callbacks.on_contact = [this](bool reached) { note_contact(reached); };
+  callbacks.on_reachability = [this](bool reached) { note_contact(reached); };
   return callbacks;
 }
 
 store::FollowerCallbacks StoreFeeds::engine_callbacks() {
   store::FollowerCallbacks callbacks;
-  callbacks.on_whole = [this](const std::vector<store::Row>& rows) {
-    entries_.take_whole(rows, engine_follower_.entries_may_return(net::Clock::now()));
+  callbacks.on_snapshot = [this](const std::vector<store::Row>& rows) {
+    entries_.take_whole(rows, engine_follower_.entries_may_be_missing(net::Clock::now()));
   };
   callbacks.on_change = [this](const store::Row& row) {
-    entries_.take_change(row, engine_follower_.entries_may_return(net::Clock::now()));
+    entries_.take_change(row, engine_follower_.entries_may_be_missing(net::Clock::now()));
   };
-  callbacks.on_contact = [this](bool reached) { note_contact(reached); };
+  callbacks.on_reachability = [this](bool reached) { note_contact(reached); };
   return callbacks;
 }
 
--- a/src/store/latency_estimate.cpp
+++ b/src/store/latency_estimate.cpp
@@ -21,7 +21,7 @@
 
 void LatencyEstimate::note(StoreStatus status, net::Millis took) {
   if (answered(status)) observe(took);
-  if (status == StoreStatus::kUnknown) note_silence(took);
+  if (status == StoreStatus::kUnknown) observe_timeout(took);
 }
 
 void LatencyEstimate::observe(net::Millis latency) {
@@ -32,7 +32,7 @@
   mean_ms_ += kMeanGain * (sample - mean_ms_);
 }
 
-void LatencyEstimate::note_silence(net::Millis waited) {
+void LatencyEstimate::observe_timeout(net::Millis waited) {
   if (++silences_in_a_row_ < kSilencesOfSlowness) return;
   const auto least = static_cast<double>(waited.count());
   mean_ms_ = std::max(mean_ms_, least);
@@ -41,12 +41,12 @@
 
 bool LatencyEstimate::silent() const { return silences_in_a_row_ >= kSilencesOfSlowness; }
 
-net::Millis LatencyEstimate::patience() const {
+net::Millis LatencyEstimate::attempt_timeout() const {
   const auto bound = std::llround(mean_ms_ + kDeviations * deviation_ms_);
   return std::clamp(net::Millis(bound), kShortest, kLongest);
 }
 
-net::Millis LatencyEstimate::usual() const {
+net::Millis LatencyEstimate::hedge_delay() const {
   auto sorted = recent_;
   const auto count = std::min(answers_, kRecent);
   std::sort(sorted.begin(), sorted.begin() + static_cast<std::ptrdiff_t>(count));
--- a/src/store/latency_estimate.hpp
+++ b/src/store/latency_estimate.hpp
@@ -17,15 +17,15 @@
   void observe(net::Millis latency);
   /// A try was given up after `waited`. Single answers get lost, which says nothing of the speed;
   /// several in a row say that the store takes longer.
-  void note_silence(net::Millis waited);
+  void observe_timeout(net::Millis waited);
   /// Whether the last tries had no answer: the store as a whole is slow or silent.
   bool silent() const;
   /// Time after which an answer is more likely lost than late.
-  net::Millis patience() const;
+  net::Millis attempt_timeout() const;
   /// Time from which it is worth asking once more while the first answer may still come: somewhat
   /// more than the faster of the last answers took. One fast answer of five is not enough to lower
   /// it, two are; a store that turned slow is followed with the fourth answer.
-  net::Millis usual() const;
+  net::Millis hedge_delay() const;
 
  private:
   static constexpr std::size_t kRecent = 5;
--- a/src/store/pace.cpp
+++ b/src/store/pace.cpp
@@ -13,14 +13,14 @@
 
 }  // namespace
 
-net::Millis Pace::time_of_try() const {
+net::Millis RetryBackoff::attempt_timeout() const {
   const auto left = std::chrono::duration_cast<net::Millis>(deadline_ - net::Clock::now());
   return std::min(patience_, std::max(left, kShortestTry));
 }
 
-void Pace::grow_patience() { patience_ = std::min(patience_ * 2, kLongestPatience); }
+void RetryBackoff::increase_timeout() { patience_ = std::min(patience_ * 2, kLongestPatience); }
 
-std::optional<net::Millis> Pace::next_pause(base::Random& random) {
+std::optional<net::Millis> RetryBackoff::next_backoff(base::Random& random) {
   const auto jitter = random.below(static_cast<std::uint64_t>(pause_.count()));
   const auto pause = pause_ / 2 + net::Millis(static_cast<std::int64_t>(jitter));
   pause_ = std::min(pause_ * 2, kLongestPause);
--- a/src/store/pace.hpp
+++ b/src/store/pace.hpp
@@ -9,20 +9,21 @@
 namespace sailgate::store {
 
 /// Not thread-safe.
-class Pace {
+class RetryBackoff {
  public:
   /// @param patience how long the first try is waited for.
-  Pace(net::TimePoint deadline, net::Millis patience) : deadline_(deadline), patience_(patience) {}
+  RetryBackoff(net::TimePoint deadline, net::Millis patience)
+      : deadline_(deadline), patience_(patience) {}
 
   /// How long the next try is waited for: not beyond the deadline, but a try that begins there is
   /// given a moment.
-  net::Millis time_of_try() const;
+  net::Millis attempt_timeout() const;
   bool time_left() const { return net::Clock::now() < deadline_; }
   /// A try had no answer: the answer may be lost or late, so that the next one is waited for longer
   /// and a slow store is not flooded.
-  void grow_patience();
+  void increase_timeout();
   /// Jittered pause before the next try, longer each time; nullopt when the deadline comes first.
-  std::optional<net::Millis> next_pause(base::Random& random);
+  std::optional<net::Millis> next_backoff(base::Random& random);
 
  private:
   net::TimePoint deadline_;
--- a/src/store/part_health.cpp
+++ b/src/store/part_health.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void PartHealth::note(const std::string& part, bool answered, net::TimePoint now) {
+void PartitionHealth::note(const std::string& part, bool answered, net::TimePoint now) {
   if (answered) {
     failed_at_.erase(part);
   } else {
@@ -19,13 +19,13 @@
   }
 }
 
-bool PartHealth::failed_lately(const std::string& part, net::TimePoint now) const {
+bool PartitionHealth::failed_lately(const std::string& part, net::TimePoint now) const {
   const auto failure = failed_at_.find(part);
   return failure != failed_at_.end() && now < failure->second + kMemory;
 }
 
-std::vector<std::string> PartHealth::order(std::vector<std::string> parts,
-                                           net::TimePoint now) const {
+std::vector<std::string> PartitionHealth::order(std::vector<std::string> parts,
+                                                net::TimePoint now) const {
   std::stable_partition(parts.begin(), parts.end(),
                         [&](const std::string& part) { return !failed_lately(part, now); });
   return parts;
--- a/src/store/part_health.hpp
+++ b/src/store/part_health.hpp
@@ -10,7 +10,7 @@
 namespace sailgate::store {
 
 /// Remembers failures of single parts for a short time. Deterministic, not thread-safe.
-class PartHealth {
+class PartitionHealth {
  public:
   void note(const std::string& part, bool answered, net::TimePoint now);
   /// The same parts, those that failed lately last; the order is kept otherwise.
--- a/src/store/reachability.hpp
+++ b/src/store/reachability.hpp
@@ -12,7 +12,7 @@
   void note(bool answered, net::TimePoint now);
   /// False when several calls in a row have failed for some time.
   bool answers(net::TimePoint now) const;
-  int failures_in_a_row() const { return failures_in_a_row_; }
+  int consecutive_failures() const { return failures_in_a_row_; }
   /// Time since the last answer.
   net::Millis unanswered(net::TimePoint now) const;
   /// How much longer the store is expected to be away; 0 while it answers.
--- a/src/store/retrying_store.cpp
+++ b/src/store/retrying_store.cpp
@@ -10,13 +10,13 @@
 
 }  // namespace
 
-std::optional<net::Millis> RetryingStore::next(Pace& pace, const StoreResult& result,
+std::optional<net::Millis> RetryingStore::next(RetryBackoff& pace, const StoreResult& result,
                                                net::TimePoint sent_at) {
   latency_.note(result.status, since(sent_at));
   // A full store stays full for seconds: what is asked again only adds to its calls.
   if (reached(result.status)) return std::nullopt;
-  if (result.status != StoreStatus::kUnknown) return pace.next_pause(random_);
-  pace.grow_patience();
+  if (result.status != StoreStatus::kUnknown) return pace.next_backoff(random_);
+  pace.increase_timeout();
   if (!pace.time_left()) return std::nullopt;
   return net::Millis(0);
 }
@@ -27,7 +27,7 @@
   while (true) {
     const auto sent_at = net::Clock::now();
     auto copy = transaction;
-    auto result = co_await store_.transact(std::move(copy), pace.time_of_try());
+    auto result = co_await store_.transact(std::move(copy), pace.attempt_timeout());
     const auto pause = next(pace, result, sent_at);
     if (!pause) co_return result;
     if (pause->count() > 0) co_await net::sleep_for(context_, *pause);
@@ -39,7 +39,7 @@
   while (true) {
     const auto sent_at = net::Clock::now();
     auto copy = range;
-    auto result = co_await store_.read(std::move(copy), pace.time_of_try());
+    auto result = co_await store_.read(std::move(copy), pace.attempt_timeout());
     const auto pause = next(pace, result, sent_at);
     if (!pause) co_return result;
     if (pause->count() > 0) co_await net::sleep_for(context_, *pause);
@@ -47,11 +47,11 @@
 }
 
 net::asio::awaitable<StoreResult> RetryingStore::transact_once(Transaction transaction,
-                                                               Pace& pace) {
+                                                               RetryBackoff& pace) {
   const auto sent_at = net::Clock::now();
-  auto result = co_await store_.transact(std::move(transaction), pace.time_of_try());
+  auto result = co_await store_.transact(std::move(transaction), pace.attempt_timeout());
   latency_.note(result.status, since(sent_at));
-  if (result.status == StoreStatus::kUnknown) pace.grow_patience();
+  if (result.status == StoreStatus::kUnknown) pace.increase_timeout();
   co_return result;
 }
 
--- a/src/store/retrying_store.hpp
+++ b/src/store/retrying_store.hpp
@@ -25,17 +25,20 @@
 
   /// One try at the caller's pace, which becomes more patient when there is no answer: for callers
   /// that have another way to go on.
-  net::asio::awaitable<StoreResult> transact_once(Transaction transaction, Pace& pace);
-  Pace begin(net::TimePoint deadline) const { return Pace(deadline, latency_.patience()); }
+  net::asio::awaitable<StoreResult> transact_once(Transaction transaction, RetryBackoff& pace);
+  RetryBackoff begin(net::TimePoint deadline) const {
+    return RetryBackoff(deadline, latency_.attempt_timeout());
+  }
 
   /// Time in which the store answers a call, if it does.
-  net::Millis patience() const { return latency_.patience(); }
+  net::Millis attempt_timeout() const { return latency_.attempt_timeout(); }
   LatencyEstimate& latency() { return latency_; }
 
  private:
   /// Notes how a try ended. @return how long to wait before the next one; nullopt: that was the
   /// last.
-  std::optional<net::Millis> next(Pace& pace, const StoreResult& result, net::TimePoint sent_at);
+  std::optional<net::Millis> next(RetryBackoff& pace, const StoreResult& result,
+                                  net::TimePoint sent_at);
 
   net::asio::io_context& context_;
   TableStore& store_;
--- a/src/store/row_parts.cpp
+++ b/src/store/row_parts.cpp
@@ -19,16 +19,16 @@
 
 }  // namespace
 
-std::uint64_t part_count() { return kParts; }
+std::uint64_t partition_count() { return kParts; }
 
-std::string part_name(std::uint64_t index) { return std::to_string(index); }
+std::string partition_name(std::uint64_t index) { return std::to_string(index); }
 
-std::string part_of(const std::string& key) { return part_name(first_part(key)); }
+std::string partition_of(const std::string& key) { return partition_name(first_part(key)); }
 
-std::vector<std::string> candidate_parts(const std::string& key) {
+std::vector<std::string> candidate_partitions(const std::string& key) {
   std::vector<std::string> parts;
   for (std::uint64_t i = 0; i < kCandidates; ++i) {
-    parts.push_back(part_name((first_part(key) + i * (kParts / kCandidates)) % kParts));
+    parts.push_back(partition_name((first_part(key) + i * (kParts / kCandidates)) % kParts));
   }
   return parts;
 }
--- a/src/store/space_watch.hpp
+++ b/src/store/space_watch.hpp
@@ -6,7 +6,7 @@
 namespace sailgate::store {
 
 /// Goes by how writes end. Deterministic, not thread-safe.
-class SpaceWatch {
+class SpaceMonitor {
  public:
   /// A transaction ended. @param puts_rows it wrote rows, not only removed some.
   /// @return whether full() changed.
--- a/src/store/table_follower.cpp
+++ b/src/store/table_follower.cpp
@@ -30,7 +30,7 @@
 }
 
 void TableFollower::note_contact(bool reached) {
-  callbacks_.on_contact(reached);
+  callbacks_.on_reachability(reached);
   const auto now = net::Clock::now();
   const bool known = last_contact_ != net::TimePoint{};
   const bool returned = reached && !reached_ && known && now >= last_contact_ + kShortestAbsence;
@@ -73,7 +73,7 @@
   version_ = version;
   note_version(version);
   whole_ = true;
-  callbacks_.on_whole(rows);
+  callbacks_.on_snapshot(rows);
   co_return true;
 }
 
--- a/src/store/table_follower.hpp
+++ b/src/store/table_follower.hpp
@@ -12,9 +12,9 @@
 
 /// What a follower tells its owner.
 struct FollowerCallbacks {
-  std::function<void(const std::vector<Row>&)> on_whole;  ///< the table as it is
-  std::function<void(const Row&)> on_change;              ///< one row changed or is gone
-  std::function<void(bool)> on_contact;                   ///< the store was reached, or was not
+  std::function<void(const std::vector<Row>&)> on_snapshot;  ///< the table as it is
+  std::function<void(const Row&)> on_change;                 ///< one row changed or is gone
+  std::function<void(bool)> on_reachability;                 ///< the store was reached, or was not
 };
 
 /// Steps: read the table whole; follow its changes; when the history is lost, read it whole again.
@@ -34,7 +34,7 @@
   std::int64_t newest_seen() const { return newest_seen_; }
   /// Whether the store is away, or came back so lately that entries which lapsed meanwhile may not
   /// be back yet: a row that is gone does not tell that its owner is.
-  bool entries_may_return(net::TimePoint now) const {
+  bool entries_may_be_missing(net::TimePoint now) const {
     return !reached_ || now < returned_at_ + kReturnTime;
   }
 
--- a/src/store/unchanging_rows.cpp
+++ b/src/store/unchanging_rows.cpp
@@ -29,7 +29,7 @@
 /// Times between the tries of one call.
 class Gaps {
  public:
-  Gaps(net::Millis usual, base::Random& random) : gap_(usual), random_(random) {}
+  Gaps(net::Millis hedge_delay, base::Random& random) : gap_(hedge_delay), random_(random) {}
 
   /// Until the next try while one is under way; longer each time.
   net::Millis next_gap() {
@@ -38,7 +38,7 @@
     return gap;
   }
   /// Until the next try after all parts refused; jittered, longer each time.
-  net::Millis next_pause() {
+  net::Millis next_backoff() {
     const auto jitter = random_.below(static_cast<std::uint64_t>(pause_.count()) + 1);
     const auto pause = pause_ + net::Millis(static_cast<std::int64_t>(jitter));
     pause_ = std::min(pause_ * 2, kLongestPause);
@@ -53,15 +53,15 @@
 
 }  // namespace
 
-net::Millis UnchangingRows::limit_of_try(const Race& race, net::TimePoint deadline) const {
-  const auto patience = latency_.patience();
-  const auto alone = std::min(patience * (1 + race.rounds), kLongestLimit);
-  const auto limit = overlapping_ ? std::max(kShortestLimit, patience) : alone;
+net::Millis ImmutableRows::limit_of_try(const Race& race, net::TimePoint deadline) const {
+  const auto attempt_timeout = latency_.attempt_timeout();
+  const auto alone = std::min(attempt_timeout * (1 + race.rounds), kLongestLimit);
+  const auto limit = overlapping_ ? std::max(kShortestLimit, attempt_timeout) : alone;
   return std::min(limit, std::max(left_until(deadline), kShortestTry));
 }
 
-void UnchangingRows::take(Race& race, const std::string& part, StoreResult result,
-                          net::TimePoint sent_at) {
+void ImmutableRows::take(Race& race, const std::string& part, StoreResult result,
+                         net::TimePoint sent_at) {
   const auto now = net::Clock::now();
   latency_.note(result.status, std::chrono::duration_cast<net::Millis>(now - sent_at));
   health_.note(part, answered(result.status), now);
@@ -76,8 +76,8 @@
   }
 }
 
-net::asio::awaitable<void> UnchangingRows::try_put(RacePointer race, Transaction transaction,
-                                                   net::Millis limit) {
+net::asio::awaitable<void> ImmutableRows::try_put(RacePointer race, Transaction transaction,
+                                                  net::Millis limit) {
   const std::weak_ptr<bool> alive = alive_;
   const auto part = transaction.puts.front().id.part;
   const auto sent_at = net::Clock::now();
@@ -88,8 +88,8 @@
   if (!silence) race->ended.cancel();
 }
 
-net::asio::awaitable<void> UnchangingRows::try_read(RacePointer race, RangeRead range,
-                                                    net::Millis limit) {
+net::asio::awaitable<void> ImmutableRows::try_read(RacePointer race, RangeRead range,
+                                                   net::Millis limit) {
   const std::weak_ptr<bool> alive = alive_;
   const auto part = range.part;
   const auto key = range.from_key;
@@ -102,7 +102,7 @@
   if (!silence) race->ended.cancel();
 }
 
-std::string UnchangingRows::next_part(Race& race, std::vector<std::string>& parts) {
+std::string ImmutableRows::next_part(Race& race, std::vector<std::string>& parts) {
   const auto idle = [&](const std::string& part) {
     return std::find(race.under_way.begin(), race.under_way.end(), part) == race.under_way.end();
   };
@@ -116,7 +116,7 @@
   return part;
 }
 
-bool UnchangingRows::round_failed(Race& race, std::size_t parts) {
+bool ImmutableRows::round_failed(Race& race, std::size_t parts) {
   race.failures += std::exchange(race.failed, 0);
   const bool throttled = std::exchange(race.throttled, false);
   if (race.failures < parts && !throttled) return false;
@@ -125,25 +125,25 @@
   return true;
 }
 
-net::asio::awaitable<void> UnchangingRows::wait(RacePointer race, net::Millis longest) {
+net::asio::awaitable<void> ImmutableRows::wait(RacePointer race, net::Millis longest) {
   if (!race->answers.empty() || race->failed > 0) co_return;
   race->ended.expires_after(std::max(longest, net::Millis(0)));
   net::Error ignored;
   co_await race->ended.async_wait(net::awaiting(ignored));
 }
 
-bool UnchangingRows::may_begin_try(const Race& race, net::TimePoint deadline) const {
+bool ImmutableRows::may_begin_try(const Race& race, net::TimePoint deadline) const {
   if (!race.begun) return true;
   const auto most = overlapping_ ? kMostUnderWay : 1;
   return left_until(deadline).count() > 0 && race.under_way.size() < most;
 }
 
-net::asio::awaitable<bool> UnchangingRows::put(std::string table, std::string key,
-                                               std::string value, std::vector<Row> companions,
-                                               net::TimePoint deadline) {
+net::asio::awaitable<bool> ImmutableRows::put(std::string table, std::string key, std::string value,
+                                              std::vector<Row> companions,
+                                              net::TimePoint deadline) {
   const auto race = std::make_shared<Race>(context_);
-  Gaps gaps(latency_.usual(), random_);
-  auto parts = health_.order(candidate_parts(key), net::Clock::now());
+  Gaps gaps(latency_.hedge_delay(), random_);
+  auto parts = health_.order(candidate_partitions(key), net::Clock::now());
   while (true) {
     if (may_begin_try(*race, deadline)) {
       const auto part = next_part(*race, parts);
@@ -160,18 +160,18 @@
     co_await wait(race, gaps.next_gap());
     if (!race->answers.empty()) co_return true;
     if (race->full) co_return false;
-    if (round_failed(*race, parts.size())) co_await wait(race, gaps.next_pause());
+    if (round_failed(*race, parts.size())) co_await wait(race, gaps.next_backoff());
     if (!race->answers.empty()) co_return true;
     if (race->under_way.empty() && left_until(deadline).count() <= 0) co_return false;
   }
 }
 
-net::asio::awaitable<RowFound> UnchangingRows::find(std::string table, std::string key,
-                                                    net::TimePoint deadline) {
+net::asio::awaitable<RowLookupResult> ImmutableRows::find(std::string table, std::string key,
+                                                          net::TimePoint deadline) {
   const auto race = std::make_shared<Race>(context_);
-  Gaps gaps(latency_.usual(), random_);
-  RowFound found;
-  auto unread = health_.order(candidate_parts(key), net::Clock::now());
+  Gaps gaps(latency_.hedge_delay(), random_);
+  RowLookupResult found;
+  auto unread = health_.order(candidate_partitions(key), net::Clock::now());
   while (true) {
     if (may_begin_try(*race, deadline)) {
       RangeRead range;
@@ -183,7 +183,7 @@
       net::asio::co_spawn(context_, try_read(race, std::move(range), limit), net::asio::detached);
     }
     co_await wait(race, gaps.next_gap());
-    if (round_failed(*race, unread.size())) co_await wait(race, gaps.next_pause());
+    if (round_failed(*race, unread.size())) co_await wait(race, gaps.next_backoff());
     for (const auto& [part, result] : std::exchange(race->answers, {})) {
       if (!result.rows.empty()) {
         found.lookup = RowLookup::kFound;
--- a/src/store/unchanging_rows.hpp
+++ b/src/store/unchanging_rows.hpp
@@ -15,7 +15,7 @@
 
 enum class RowLookup { kFound, kAbsent, kUnavailable };
 
-struct RowFound {
+struct RowLookupResult {
   RowLookup lookup = RowLookup::kUnavailable;
   std::string value;
   std::int64_t version = 0;  ///< of the store, when absence was seen
@@ -29,11 +29,11 @@
 /// before the next one began, 240 ms so; while a third of the answers were lost after that, writes
 /// took 627 ms in the mean, 84 ms so.
 /// Not thread-safe.
-class UnchangingRows {
+class ImmutableRows {
  public:
   /// @param latency what is known of the store's answer times; kept up here.
-  UnchangingRows(net::asio::io_context& context, TableStore& store, LatencyEstimate& latency,
-                 std::uint64_t seed)
+  ImmutableRows(net::asio::io_context& context, TableStore& store, LatencyEstimate& latency,
+                std::uint64_t seed)
       : context_(context), store_(store), latency_(latency), random_(seed) {}
 
   /// Writes a row to the first candidate part that takes it. One try is made even when the deadline
@@ -44,7 +44,8 @@
   net::asio::awaitable<bool> put(std::string table, std::string key, std::string value,
                                  std::vector<Row> companions, net::TimePoint deadline);
   /// Absent is said only when every candidate part was read.
-  net::asio::awaitable<RowFound> find(std::string table, std::string key, net::TimePoint deadline);
+  net::asio::awaitable<RowLookupResult> find(std::string table, std::string key,
+                                             net::TimePoint deadline);
 
   /// Whether a try may begin while others are under way.
   void set_overlapping(bool overlapping) { overlapping_ = overlapping; }
@@ -83,7 +84,7 @@
   net::asio::io_context& context_;
   TableStore& store_;
   LatencyEstimate& latency_;
-  PartHealth health_;
+  PartitionHealth health_;
   base::Random random_;
   bool overlapping_ = true;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  ///< tries may outlive their call
--- a/tests/ledger/expiry_sweeper_test.cpp
+++ b/tests/ledger/expiry_sweeper_test.cpp
@@ -51,8 +51,8 @@
   }
   std::size_t sweep() {
     std::size_t removed = 0;
-    for (std::uint64_t part = 0; part < store::part_count(); ++part) {
-      removed += run(context, sweeper.sweep_part(store::part_name(part)));
+    for (std::uint64_t part = 0; part < store::partition_count(); ++part) {
+      removed += run(context, sweeper.sweep_part(store::partition_name(part)));
     }
     return removed;
   }
--- a/tests/ledger/program_ledger_test.cpp
+++ b/tests/ledger/program_ledger_test.cpp
@@ -107,9 +107,9 @@
 
 TEST_CASE_METHOD(Fixture, "a program starts while the partition of its first row is unavailable",
                  "[ledger]") {
-  table.put_out_of_service({store::candidate_parts("program")[0]});
+  table.put_out_of_service({store::candidate_partitions("program")[0]});
   REQUIRE(reserve(first, 100) == ReserveOutcome::kReserved);
-  table.put_out_of_service({store::candidate_parts("program")[1]});
+  table.put_out_of_service({store::candidate_partitions("program")[1]});
   REQUIRE(reserve(second, 100) == ReserveOutcome::kReserved);
   table.put_out_of_service({});
   REQUIRE(reserve(second, 800) == ReserveOutcome::kExhausted);
@@ -117,7 +117,7 @@
 
 TEST_CASE_METHOD(Fixture, "a budget is not reported as exhausted while a partition is unavailable",
                  "[ledger]") {
-  table.put_out_of_service({store::candidate_parts("program")[0]});
+  table.put_out_of_service({store::candidate_partitions("program")[0]});
   REQUIRE(reserve(first, 901) == ReserveOutcome::kUnavailable);
   table.put_out_of_service({});
   REQUIRE(reserve(first, 901) == ReserveOutcome::kReserved);
@@ -208,7 +208,7 @@
   const auto two = turn("2", one);
   const auto three = turn("3", two);
   const auto put = [this](const ledger::Turn& written, const wire::TurnRow& row) {
-    table.put("turns", store::part_of(written.id), written.id, wire::encode(row));
+    table.put("turns", store::partition_of(written.id), written.id, wire::encode(row));
   };
   put(*two, ledger::encode_chain(*two));
   auto row = ledger::encode_chain(*three);
--- a/tests/ledger/store_space_test.cpp
+++ b/tests/ledger/store_space_test.cpp
@@ -148,10 +148,11 @@
 
   /// Performs the sweeps of all nodes of a fleet within one second.
   void sweep() {
-    const auto pause = ledger::SweepSchedule::pause(1, store::part_count(), false);
+    const auto pause = ledger::SweepSchedule::pause(1, store::partition_count(), false);
     sweeps_due_ += static_cast<double>(kSecondMs) / static_cast<double>(pause.count());
     for (; sweeps_due_ >= 1; sweeps_due_ -= 1) {
-      run(context_, sweeper_->sweep_part(store::part_name(random_.below(store::part_count()))));
+      run(context_,
+          sweeper_->sweep_part(store::partition_name(random_.below(store::partition_count()))));
     }
   }
 
--- a/tests/serving/stream_call_test.cpp
+++ b/tests/serving/stream_call_test.cpp
@@ -240,7 +240,7 @@
   start();
   engine.set_script([](const auto& request) { return events(request, 1, 3); });
   REQUIRE(ask(request("POST", "/turns/x", turn_headers("t-1", ""), "in")).whole);
-  table.put_out_of_service({store::part_of("t-2"), store::part_of("t-3")});
+  table.put_out_of_service({store::partition_of("t-2"), store::partition_of("t-3")});
   REQUIRE(ask(request("POST", "/turns/x", turn_headers("t-2", "t-1"), "in")).whole);
   REQUIRE(ask(request("POST", "/turns/x", turn_headers("t-3", "t-2"), "in")).whole);
 }
--- a/tests/store/latency_estimate_test.cpp
+++ b/tests/store/latency_estimate_test.cpp
@@ -5,30 +5,30 @@
 using namespace sailgate;
 using store::LatencyEstimate;
 
-TEST_CASE("lost answers among quick ones do not lengthen the patience", "[store]") {
+TEST_CASE("lost answers among quick ones do not lengthen the attempt timeout", "[store]") {
   LatencyEstimate estimate;
-  const auto before = estimate.patience();
+  const auto before = estimate.attempt_timeout();
   for (int i = 0; i < 50; ++i) {
     estimate.observe(net::Millis(5));
-    estimate.note_silence(net::Millis(70));
+    estimate.observe_timeout(net::Millis(70));
   }
-  REQUIRE(estimate.patience() <= before);
+  REQUIRE(estimate.attempt_timeout() <= before);
 }
 
 TEST_CASE("a store that became slow is given its time, and loses it again", "[store]") {
   LatencyEstimate estimate;
-  for (auto waited = estimate.patience(); waited < net::Millis(300); waited *= 2) {
-    for (int i = 0; i < 3; ++i) estimate.note_silence(waited);
+  for (auto waited = estimate.attempt_timeout(); waited < net::Millis(300); waited *= 2) {
+    for (int i = 0; i < 3; ++i) estimate.observe_timeout(waited);
   }
-  REQUIRE(estimate.patience() > net::Millis(250));
+  REQUIRE(estimate.attempt_timeout() > net::Millis(250));
   for (int i = 0; i < 60; ++i) estimate.observe(net::Millis(5));
-  REQUIRE(estimate.patience() < net::Millis(100));
+  REQUIRE(estimate.attempt_timeout() < net::Millis(100));
 }
 
-TEST_CASE("patience stays within its bounds", "[store]") {
+TEST_CASE("the attempt timeout stays within its bounds", "[store]") {
   LatencyEstimate estimate;
-  for (int i = 0; i < 100; ++i) estimate.note_silence(net::Millis(60'000));
-  REQUIRE(estimate.patience() <= net::Millis(1000));
+  for (int i = 0; i < 100; ++i) estimate.observe_timeout(net::Millis(60'000));
+  REQUIRE(estimate.attempt_timeout() <= net::Millis(1000));
   for (int i = 0; i < 100; ++i) estimate.observe(net::Millis(0));
-  REQUIRE(estimate.patience() >= net::Millis(50));
+  REQUIRE(estimate.attempt_timeout() >= net::Millis(50));
 }
--- a/tests/store/slow_store_test.cpp
+++ b/tests/store/slow_store_test.cpp
@@ -14,7 +14,7 @@
   net::asio::io_context context;
   test::SlowTable table{context, 1};
   store::LatencyEstimate latency;
-  store::UnchangingRows rows{context, table, latency, 1};
+  store::ImmutableRows rows{context, table, latency, 1};
   int written = 0;
 
   /// @return how long it took.
--- a/tests/store/table_follower_test.cpp
+++ b/tests/store/table_follower_test.cpp
@@ -25,7 +25,7 @@
 
   store::FollowerCallbacks callbacks() {
     store::FollowerCallbacks callbacks;
-    callbacks.on_whole = [this](const std::vector<store::Row>& rows) {
+    callbacks.on_snapshot = [this](const std::vector<store::Row>& rows) {
       ++wholes;
       mirror.clear();
       for (const auto& row : rows) mirror[row.id.key] = row.value;
@@ -37,7 +37,7 @@
         mirror[row.id.key] = row.value;
       }
     };
-    callbacks.on_contact = [this](bool now) { reached = now; };
+    callbacks.on_reachability = [this](bool now) { reached = now; };
     return callbacks;
   }
 
--- a/tests/store/unchanging_rows_test.cpp
+++ b/tests/store/unchanging_rows_test.cpp
@@ -17,13 +17,13 @@
   net::asio::io_context context;
   MemoryTable table{context};
   store::LatencyEstimate latency;
-  store::UnchangingRows rows{context, table, latency, 1};
-  std::vector<std::string> parts = store::candidate_parts("key");
+  store::ImmutableRows rows{context, table, latency, 1};
+  std::vector<std::string> parts = store::candidate_partitions("key");
 
   bool put() {
     return run(context, rows.put("t", "key", "v", {}, net::Clock::now() + net::Millis(200)));
   }
-  store::RowFound find(store::UnchangingRows& reader) {
+  store::RowLookupResult find(store::ImmutableRows& reader) {
     return run(context, reader.find("t", "key", net::Clock::now() + net::Millis(200)));
   }
 };
@@ -31,10 +31,10 @@
 }  // namespace
 
 TEST_CASE("the candidate parts of a row differ", "[store]") {
-  const auto parts = store::candidate_parts("key");
+  const auto parts = store::candidate_partitions("key");
   REQUIRE(parts.size() > 1);
   REQUIRE(std::set<std::string>(parts.begin(), parts.end()).size() == parts.size());
-  REQUIRE(parts.front() == store::part_of("key"));
+  REQUIRE(parts.front() == store::partition_of("key"));
 }
 
 TEST_CASE_METHOD(Fixture, "a row is written once, to its first part", "[store]") {
@@ -48,7 +48,7 @@
                  "[store]") {
   table.put_out_of_service({parts[0]});
   REQUIRE(put());
-  store::UnchangingRows other(context, table, latency, 2);
+  store::ImmutableRows other(context, table, latency, 2);
   REQUIRE(find(other).lookup == RowLookup::kFound);
   table.put_out_of_service({});
   REQUIRE(find(other).lookup == RowLookup::kFound);
