--- a/src/net/asio.hpp
+++ b/src/net/asio.hpp
@@ -1,5 +1,5 @@
-/// @file Boost.Asio and Boost.Beast as this project uses them. One thread runs the event loop, so
-/// nothing that is built on it needs locks.
+/// @file Includes and aliases for Boost.Asio and Boost.Beast. A single thread runs the event loop,
+/// so code that runs on it needs no locks.
 #pragma once
 
 // NOTE: Boost 1.74 with GCC 12 needs <utility> before asio's coroutine support.
@@ -28,10 +28,10 @@
 using Error = boost::system::error_code;
 using Endpoint = asio::ip::tcp::endpoint;
 
-// NOTE: GCC 12 destroys temporaries twice that are built from braces inside a co_await expression.
-// Arguments of awaited functions are named variables that are moved.
+// NOTE: GCC 12 destroys brace-initialized temporaries in a co_await expression twice. Pass named
+// variables with std::move to awaited functions instead.
 
-/// Completion token: the awaited operation reports its error in `error` and never throws.
+/// Completion token: the awaited operation stores its error in `error` instead of throwing.
 inline auto awaiting(Error& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
 /// Suspends the calling coroutine for `duration`.
--- a/src/net/async_mutex.hpp
+++ b/src/net/async_mutex.hpp
@@ -1,4 +1,4 @@
-/// @file Mutual exclusion between coroutines of one event loop.
+/// @file Mutex for coroutines that run on the same event loop.
 #pragma once
 
 #include <deque>
@@ -8,7 +8,7 @@
 
 namespace sailgate::net {
 
-/// First come, first served. Not for threads.
+/// Fair: waiters acquire the mutex in FIFO order. Not thread-safe.
 class AsyncMutex {
  public:
   /// Releases the mutex when it goes out of scope.
@@ -32,27 +32,27 @@
       locked_ = true;
       co_return Guard(*this);
     }
-    auto turn = std::make_shared<asio::steady_timer>(context_, TimePoint::max());
-    waiting_.push_back(turn);
+    auto waiter = std::make_shared<asio::steady_timer>(context_, TimePoint::max());
+    waiters_.push_back(waiter);
     Error ignored;
-    co_await turn->async_wait(awaiting(ignored));
-    co_return Guard(*this);  // unlock() handed the lock over
+    co_await waiter->async_wait(awaiting(ignored));
+    co_return Guard(*this);  // unlock() transferred ownership, so locked_ is still true
   }
 
  private:
   void unlock() {
-    if (waiting_.empty()) {
+    if (waiters_.empty()) {
       locked_ = false;
       return;
     }
-    auto next = std::move(waiting_.front());
-    waiting_.pop_front();
+    auto next = std::move(waiters_.front());
+    waiters_.pop_front();
     next->cancel();
   }
 
   asio::io_context& context_;
   bool locked_ = false;
-  std::deque<std::shared_ptr<asio::steady_timer>> waiting_;
+  std::deque<std::shared_ptr<asio::steady_timer>> waiters_;
 };
 
 }  // namespace sailgate::net
--- a/src/net/endpoint.hpp
+++ b/src/net/endpoint.hpp
@@ -1,4 +1,4 @@
-/// @file Textual addresses.
+/// @file Conversion between endpoints and text.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace sailgate::net {
 
-/// Parses "IP:PORT" (no name look-up). @throws std::invalid_argument
+/// Parses "IP:PORT"; does not resolve host names. @throws std::invalid_argument
 Endpoint parse_endpoint(const std::string& text);
 
 /// @return "IP:PORT".
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::uint64_t kResponseLimit = 32U << 20U;
+constexpr std::uint64_t kMaxResponseBytes = 32U << 20U;
 
 }  // namespace
 
@@ -48,8 +48,8 @@
   co_await http::async_write(stream, request, awaiting(error));
   if (!error) {
     http::response_parser<http::string_body> parser;
-    // NOTE: Boost 1.74 takes an absent limit for zero.
-    parser.body_limit(kResponseLimit);
+    // NOTE: Boost 1.74 treats an unset limit as zero.
+    parser.body_limit(kMaxResponseBytes);
     co_await http::async_read(stream, connection->buffer, parser, awaiting(error));
     if (!error) result.response = parser.release();
   }
@@ -59,7 +59,7 @@
   }
   const bool reusable = result.response.keep_alive() && connection->buffer.size() == 0 &&
                         connection->server == server_;
-  if (reusable && idle_.size() < kMostIdle) idle_.push_back(std::move(connection));
+  if (reusable && idle_.size() < kMaxIdleConnections) idle_.push_back(std::move(connection));
   co_return result;
 }
 
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,4 +1,4 @@
-/// @file HTTP/1.1 client with kept connections to one server, for the platform's services and
+/// @file HTTP/1.1 client with persistent connections to one server, for platform services and
 /// peers.
 #pragma once
 
@@ -11,15 +11,15 @@
 
 namespace sailgate::net {
 
-/// Request and response with the whole body in memory.
+/// Request and response whose bodies are held in memory.
 using TextRequest = http::request<http::string_body>;
 using TextResponse = http::response<http::string_body>;
 
-/// Why an exchange gave no response.
+/// Reason why an exchange produced no response.
 enum class ExchangeFailure {
   kNone,
   kNotSent,     ///< no connection: the server has seen nothing of the request
-  kNoResponse,  ///< the request may have been taken
+  kNoResponse,  ///< the server may have processed the request
 };
 
 struct ExchangeResult {
@@ -27,19 +27,19 @@
   TextResponse response;  ///< valid when failure is kNone
 };
 
-/// Keeps idle connections for reuse. A connection on which anything failed is closed.
+/// Keeps a pool of idle connections. A connection is closed after any error on it.
 class HttpClient {
  public:
   HttpClient(asio::io_context& context, const Endpoint& server)
       : context_(context), server_(server) {}
 
-  /// One request and its whole response within `timeout`. Never sends a request twice.
+  /// Sends a request and reads the whole response within `timeout`. Never retries.
   asio::awaitable<ExchangeResult> exchange(TextRequest request, Millis timeout);
 
-  /// Calls from now on go to another address; those under way end where they are.
+  /// Sends subsequent requests to another address; exchanges in progress are not affected.
   void set_server(const Endpoint& server);
 
-  /// Forgets idle connections, after a time in which they may have become silent.
+  /// Closes the idle connections, for use after a period in which the peer may have dropped them.
   void close_idle() { idle_.clear(); }
 
  private:
@@ -50,7 +50,7 @@
     beast::flat_buffer buffer;
   };
 
-  static constexpr std::size_t kMostIdle = 8;
+  static constexpr std::size_t kMaxIdleConnections = 8;
 
   asio::awaitable<std::unique_ptr<Connection>> acquire(TimePoint deadline);
 
--- a/src/net/socket_state.cpp
+++ b/src/net/socket_state.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-/// Unacknowledged bytes end a connection after this time (TCP_USER_TIMEOUT, milliseconds).
+/// TCP_USER_TIMEOUT: a connection whose data stays unacknowledged for this time is closed.
 constexpr int kUserTimeoutMs = 5000;
 
 }  // namespace
 
 SocketState peek(asio::ip::tcp::socket& socket) {
   char byte = 0;
-  const auto got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  if (got > 0) return SocketState::kData;
-  if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) {
+  const auto received = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  if (received > 0) return SocketState::kData;
+  if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) {
     return SocketState::kIdle;
   }
   return SocketState::kClosed;
--- a/src/net/socket_state.hpp
+++ b/src/net/socket_state.hpp
@@ -1,4 +1,4 @@
-/// @file Looking at a connected socket without reading from it.
+/// @file State and TCP options of a connected socket.
 #pragma once
 
 #include "net/asio.hpp"
@@ -7,14 +7,14 @@
 
 enum class SocketState {
   kIdle,    ///< open, nothing to read
-  kData,    ///< bytes wait to be read
-  kClosed,  ///< the peer closed or reset it
+  kData,    ///< bytes available to read
+  kClosed,  ///< closed or reset by the peer
 };
 
-/// Never blocks.
+/// Determines the state without consuming data. Never blocks.
 SocketState peek(asio::ip::tcp::socket& socket);
 
-/// Disables Nagle's algorithm and bounds how long a silent peer goes unnoticed.
+/// Disables Nagle's algorithm and limits the time until an unresponsive peer is detected.
 void set_tcp_options(asio::ip::tcp::socket& socket);
 
 }  // namespace sailgate::net
--- a/src/net/text_server.cpp
+++ b/src/net/text_server.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr Millis kIdleTimeout{20'000};
-constexpr Millis kAcceptPause{50};
-constexpr int kMostConnections = 512;
-constexpr std::uint64_t kBodyLimit = 8U << 20U;
+constexpr Millis kAcceptRetryDelay{50};
+constexpr int kMaxConnections = 512;
+constexpr std::uint64_t kMaxBodyBytes = 8U << 20U;
 
 }  // namespace
 
@@ -28,15 +28,15 @@
     Error error;
     auto socket = co_await acceptor_.async_accept(awaiting(error));
     if (error) {
-      co_await sleep_for(context_, kAcceptPause);
-    } else if (open_ < kMostConnections) {
+      co_await sleep_for(context_, kAcceptRetryDelay);
+    } else if (open_connections_ < kMaxConnections) {
       asio::co_spawn(context_, serve(std::move(socket)), asio::detached);
     }
   }
 }
 
 asio::awaitable<void> TextServer::serve(asio::ip::tcp::socket socket) {
-  ++open_;
+  ++open_connections_;
   set_tcp_options(socket);
   beast::tcp_stream stream(std::move(socket));
   beast::flat_buffer buffer;
@@ -44,20 +44,20 @@
   while (!error) {
     stream.expires_after(kIdleTimeout);
     http::request_parser<http::string_body> parser;
-    parser.body_limit(kBodyLimit);
+    parser.body_limit(kMaxBodyBytes);
     co_await http::async_read(stream, buffer, parser, awaiting(error));
     if (error) break;
     auto request = parser.release();
-    const bool keep = request.keep_alive();
+    const bool keep_alive = request.keep_alive();
     auto response = co_await handler_(std::move(request));
     response.version(11);
-    response.keep_alive(keep);
+    response.keep_alive(keep_alive);
     response.prepare_payload();
     co_await http::async_write(stream, response, awaiting(error));
-    if (!keep) break;
+    if (!keep_alive) break;
   }
   stream.close();
-  --open_;
+  --open_connections_;
 }
 
 }  // namespace sailgate::net
--- a/src/net/text_server.hpp
+++ b/src/net/text_server.hpp
@@ -1,4 +1,4 @@
-/// @file Small HTTP server for short answers: readiness, metrics, calls of peers.
+/// @file Minimal HTTP server for short responses: readiness, metrics and requests from peers.
 #pragma once
 
 #include <functional>
@@ -7,12 +7,12 @@
 
 namespace sailgate::net {
 
-/// Answers each request from a coroutine. Bounded in connections and body size.
+/// Handles each connection in a coroutine. Limits the number of connections and the body size.
 class TextServer {
  public:
   using Handler = std::function<asio::awaitable<TextResponse>(TextRequest)>;
 
-  /// @throws boost::system::system_error when the address cannot be listened on.
+  /// @throws boost::system::system_error if it cannot listen on the address.
   TextServer(asio::io_context& context, const Endpoint& endpoint, Handler handler);
   void start();
   void stop();
@@ -24,7 +24,7 @@
   asio::io_context& context_;
   asio::ip::tcp::acceptor acceptor_;
   Handler handler_;
-  int open_ = 0;
+  int open_connections_ = 0;
 };
 
 }  // namespace sailgate::net
--- a/src/observe/shared_log.cpp
+++ b/src/observe/shared_log.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-SharedLog::SharedLog(int descriptor) : log_(descriptor), writer_([this] { write_out(); }) {}
+SharedLog::SharedLog(int descriptor) : log_(descriptor), writer_([this] { run_writer(); }) {}
 
 SharedLog::~SharedLog() {
   {
@@ -22,7 +22,7 @@
   log_.flush();
 }
 
-void SharedLog::write_out() {
+void SharedLog::run_writer() {
   std::unique_lock<std::mutex> lock(mutex_);
   while (!stopping_) {
     log_.flush();
--- a/src/observe/shared_log.hpp
+++ b/src/observe/shared_log.hpp
@@ -1,4 +1,4 @@
-/// @file The structured log for processes with several threads.
+/// @file Structured log for multi-threaded processes.
 #pragma once
 
 #include <condition_variable>
@@ -10,17 +10,17 @@
 
 namespace sailgate::observe {
 
-/// Thread-safe. Lines are written by a thread of its own, so that no caller waits for the
-/// descriptor. Lock order: its mutex is a leaf, nothing else is locked under it.
+/// Thread-safe. A dedicated thread writes the lines, so that callers never block on the descriptor.
+/// Lock order: the mutex is a leaf; no other lock is acquired while it is held.
 class SharedLog {
  public:
   explicit SharedLog(int descriptor);
   SharedLog(const SharedLog&) = delete;
   SharedLog& operator=(const SharedLog&) = delete;
-  /// Writes what is left, as far as the descriptor takes it.
+  /// Writes the remaining lines as far as the descriptor accepts them without blocking.
   ~SharedLog();
 
-  /// Adds a line. @param fill adds its fields; called under the log's lock, must not block.
+  /// Adds a line. @param fill adds its fields; called with the mutex held, so it must not block.
   template <typename Fill>
   void event(std::string_view name, Fill fill) {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -29,7 +29,7 @@
   }
 
  private:
-  void write_out();
+  void run_writer();
 
   std::mutex mutex_;
   StructuredLog log_;
--- a/src/observe/structured_log.cpp
+++ b/src/observe/structured_log.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// A pipe that is ready for writing takes this many bytes without blocking (POSIX PIPE_BUF).
-constexpr std::size_t kSlice = 4096;
+/// A pipe that polls as writable accepts this many bytes without blocking (PIPE_BUF on Linux).
+constexpr std::size_t kMaxWriteBytes = 4096;
 constexpr unsigned char kFirstPrintable = 0x20;
 
 std::int64_t wall_clock_ms() {
@@ -72,26 +72,26 @@
 }
 
 void StructuredLog::append(std::string_view line) {
-  if (waiting_.size() + line.size() > capacity_) {
+  if (buffer_.size() + line.size() > capacity_) {
     ++dropped_;
     return;
   }
-  waiting_.append(line);
+  buffer_.append(line);
 }
 
 void StructuredLog::flush() {
   std::size_t written = 0;
-  while (written < waiting_.size() && writable(descriptor_)) {
-    const auto length = std::min(kSlice, waiting_.size() - written);
-    const auto taken = ::write(descriptor_, waiting_.data() + written, length);
-    if (taken <= 0) break;
-    written += static_cast<std::size_t>(taken);
+  while (written < buffer_.size() && writable(descriptor_)) {
+    const auto length = std::min(kMaxWriteBytes, buffer_.size() - written);
+    const auto bytes_written = ::write(descriptor_, buffer_.data() + written, length);
+    if (bytes_written <= 0) break;
+    written += static_cast<std::size_t>(bytes_written);
   }
-  waiting_.erase(0, written);
-  if (waiting_.empty() && dropped_ > reported_dropped_) {
-    const auto lost = dropped_ - reported_dropped_;
+  buffer_.erase(0, written);
+  if (buffer_.empty() && dropped_ > reported_dropped_) {
+    const auto newly_dropped = dropped_ - reported_dropped_;
     reported_dropped_ = dropped_;
-    event("log_lines_dropped").with("count", lost);
+    event("log_lines_dropped").with("count", newly_dropped);
   }
 }
 
--- a/src/observe/structured_log.hpp
+++ b/src/observe/structured_log.hpp
@@ -1,4 +1,4 @@
-/// @file Structured log on standard output: one JSON object a line.
+/// @file Structured log in JSON Lines format.
 #pragma once
 
 #include <cstdint>
@@ -8,11 +8,11 @@
 
 namespace sailgate::observe {
 
-/// Bounded, non-blocking log. Lines are gathered in memory and written by flush(); what does not
-/// fit is dropped and counted. Not thread-safe: the event loop owns it.
+/// Bounded, non-blocking log. Lines are buffered in memory and written by flush(); lines that
+/// exceed the buffer's capacity are dropped and counted. Not thread-safe: the event loop owns it.
 class StructuredLog {
  public:
-  /// One line under construction; it joins the log when it goes out of scope.
+  /// Builder of one line; the destructor appends the line to the log.
   class Line {
    public:
     Line(StructuredLog& log, std::string_view event);
@@ -39,14 +39,14 @@
     std::string text_;
   };
 
-  /// @param descriptor where lines go. @param capacity most bytes waiting to be written.
+  /// @param descriptor output file descriptor. @param capacity maximum number of buffered bytes.
   explicit StructuredLog(int descriptor, std::size_t capacity = kDefaultCapacity)
       : descriptor_(descriptor), capacity_(capacity) {}
 
-  /// Starts a line. @param event stable name, listed in docs/OPERATIONS.md.
+  /// Starts a line. @param name stable event name, listed in docs/OPERATIONS.md.
   Line event(std::string_view name) { return {*this, name}; }
 
-  /// Writes what the descriptor takes without blocking.
+  /// Writes as much as the descriptor accepts without blocking.
   void flush();
 
   std::uint64_t dropped() const { return dropped_; }
@@ -58,7 +58,7 @@
 
   int descriptor_;
   std::size_t capacity_;
-  std::string waiting_;
+  std::string buffer_;
   std::uint64_t dropped_ = 0;
   std::uint64_t reported_dropped_ = 0;
 };
--- a/src/store/blocking_store.hpp
+++ b/src/store/blocking_store.hpp
@@ -1,4 +1,4 @@
-/// @file The table store for code that runs on threads.
+/// @file Synchronous interface to the table store.
 #pragma once
 
 #include <functional>
@@ -9,13 +9,13 @@
 
 namespace sailgate::store {
 
-/// Runs a TableStore on an event loop of its own. Thread-safe; calls block their thread until they
-/// end, within their timeout.
+/// Runs a TableStore on a dedicated event-loop thread. Thread-safe; each call blocks its thread
+/// until the result arrives or the timeout expires.
 class BlockingStore {
  public:
   using Factory = std::function<std::unique_ptr<TableStore>(net::asio::io_context&)>;
 
-  /// @param factory makes the store; its calls are made on the loop's thread.
+  /// @param factory creates the store, whose calls then run on the event-loop thread.
   explicit BlockingStore(const Factory& factory);
   BlockingStore(const BlockingStore&) = delete;
   BlockingStore& operator=(const BlockingStore&) = delete;
--- a/src/store/latency_estimate.hpp
+++ b/src/store/latency_estimate.hpp
@@ -1,4 +1,4 @@
-/// @file How long the store takes to answer, lately.
+/// @file Estimate of the store's current response time.
 #pragma once
 
 #include <array>
@@ -9,31 +9,31 @@
 
 namespace sailgate::store {
 
-/// Smoothed mean and deviation of answer times. Deterministic, not thread-safe.
+/// Exponentially smoothed mean and deviation of response times. Deterministic, not thread-safe.
 class LatencyEstimate {
  public:
-  /// Takes in how a call ended; a refusal says nothing of the speed.
+  /// Records the result of a call. Refusals are ignored: they carry no information on latency.
   void note(StoreStatus status, net::Millis took);
   void observe(net::Millis latency);
-  /// A try was given up after `waited`. Single answers get lost, which says nothing of the speed;
-  /// several in a row say that the store takes longer.
+  /// An attempt timed out after `waited`. A single time-out can be a lost response and does not
+  /// change the estimate; several consecutive ones indicate that the store has become slower.
   void observe_timeout(net::Millis waited);
-  /// Whether the last tries had no answer: the store as a whole is slow or silent.
+  /// Whether the last attempts all timed out: the whole store is slow or does not respond.
   bool silent() const;
-  /// Time after which an answer is more likely lost than late.
+  /// Time after which a response is more likely lost than late.
   net::Millis attempt_timeout() const;
-  /// Time from which it is worth asking once more while the first answer may still come: somewhat
-  /// more than the faster of the last answers took. One fast answer of five is not enough to lower
-  /// it, two are; a store that turned slow is followed with the fourth answer.
+  /// Delay before a hedged request is sent while the first response is still outstanding: 1.5 times
+  /// the lower quartile of the last five response times, plus a margin. One fast response of five
+  /// does not lower it, two do; it follows a store that has become slow with the fourth response.
   net::Millis hedge_delay() const;
 
  private:
-  static constexpr std::size_t kRecent = 5;
+  static constexpr std::size_t kRecentCount = 5;
   double mean_ms_ = 8;
   double deviation_ms_ = 8;
-  int silences_in_a_row_ = 0;
-  std::array<net::Millis, kRecent> recent_{};  ///< answer times, the latest ones
-  std::size_t answers_ = 0;
+  int consecutive_timeouts_ = 0;
+  std::array<net::Millis, kRecentCount> recent_{};  ///< ring buffer of the latest response times
+  std::size_t response_count_ = 0;
 };
 
 }  // namespace sailgate::store
--- a/src/store/metered_store.cpp
+++ b/src/store/metered_store.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Changes by table, each table once.
+/// Changes aggregated by table.
 std::vector<RowsChanged> changes_of(const Transaction& transaction) {
   std::map<std::string, RowsChanged> by_table;
   for (const auto& row : transaction.puts) {
--- a/src/store/metered_store.hpp
+++ b/src/store/metered_store.hpp
@@ -1,4 +1,4 @@
-/// @file Counts what is asked of the table store and how each call ended.
+/// @file Metrics and logging of calls to the table store.
 #pragma once
 
 #include <cstdint>
@@ -10,28 +10,28 @@
 
 namespace sailgate::store {
 
-/// Kinds of calls, as metrics name them.
+/// Call types, as labelled in metrics.
 enum class StoreCall { kWrite, kRead, kFeed };
 
 const char* name_of(StoreCall call);
 
-/// What one transaction that took effect changed.
+/// Changes that a committed transaction made to one table.
 struct RowsChanged {
   std::string table;
   std::int64_t rows_written = 0;
   std::int64_t rows_removed = 0;
-  std::int64_t bytes_written = 0;  ///< of keys and values
+  std::int64_t bytes_written = 0;  ///< keys and values
 };
 
-/// Where a metered store's figures go. Callbacks may be empty.
+/// Metric callbacks of a metered store; each may be empty.
 struct StoreMeter {
   std::function<void(StoreCall, StoreStatus)> ended;
   std::function<void(const RowsChanged&)> changed;
 };
 
-/// Passes every call on. A refusal is logged with its status, once for each status until a call of
-/// that kind succeeds again, so that a store that refuses everything writes a line, not thousands.
-/// Not thread-safe.
+/// Forwards every call to another store. A failed call is logged when its status differs from the
+/// one logged last for this call type since its last success, so that a store that refuses
+/// everything produces one line instead of thousands. Not thread-safe.
 class MeteredStore : public TableStore {
  public:
   MeteredStore(TableStore& store, observe::StructuredLog& log) : store_(store), log_(log) {}
@@ -50,7 +50,7 @@
   TableStore& store_;
   observe::StructuredLog& log_;
   StoreMeter meter_;
-  /// Status that the last line about refused calls of each kind told; kDone: none since a success.
+  /// Last logged failure status by call type; kDone: none since the last successful call.
   StoreStatus logged_[3] = {StoreStatus::kDone, StoreStatus::kDone, StoreStatus::kDone};
 };
 
--- a/src/store/optimistic_update.cpp
+++ b/src/store/optimistic_update.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr base::Millis kFirstPause = 20;
-constexpr base::Millis kLongestPause = 320;
+constexpr base::Millis kInitialBackoff = 20;
+constexpr base::Millis kMaxBackoff = 320;
 
 }  // namespace
 
@@ -19,7 +19,7 @@
       range_(std::move(range)),
       cached_(cached),
       give_up_at_(give_up_at),
-      pause_(kFirstPause) {}
+      backoff_(kInitialBackoff) {}
 
 OptimisticUpdate::Step OptimisticUpdate::start() { return cached_ ? evaluate() : read(0); }
 
@@ -50,14 +50,14 @@
   return step;
 }
 
-OptimisticUpdate::Step OptimisticUpdate::again(Step step, base::Millis now) {
-  step.wait = pause_;
-  pause_ = std::min(pause_ * 2, kLongestPause);
+OptimisticUpdate::Step OptimisticUpdate::retry(Step step, base::Millis now) {
+  step.wait = backoff_;
+  backoff_ = std::min(backoff_ * 2, kMaxBackoff);
   return now + step.wait >= give_up_at_ ? done(false) : step;
 }
 
 OptimisticUpdate::Step OptimisticUpdate::on_read(StoreResult result, base::Millis now) {
-  if (result.status != StoreStatus::kDone) return again(read(0), now);
+  if (result.status != StoreStatus::kDone) return retry(read(0), now);
   std::move(result.rows.begin(), result.rows.end(), std::back_inserter(pages_));
   if (result.more && !pages_.empty()) {
     Step step;
@@ -86,7 +86,7 @@
   Step step;
   step.kind = Step::Kind::kWrite;
   step.write = write_;
-  return again(std::move(step), now);
+  return retry(std::move(step), now);
 }
 
 }  // namespace sailgate::store
--- a/src/store/optimistic_update.hpp
+++ b/src/store/optimistic_update.hpp
@@ -1,10 +1,10 @@
-/// @file Steps of one read-modify-write of rows, apart from any I/O.
+/// @file State machine of an optimistic read-modify-write of rows; performs no I/O.
 ///
-///  1. Evaluate what is cached, or read.
-///  2. Write under the condition that nothing changed since.
-///  3. On a conflict read again and evaluate anew. A write without an answer is sent again with the
-///     same condition: at most one of them takes effect, and the conflict that another one may have
-///     caused is resolved by evaluating what is there.
+///  1. Evaluate the cached rows, or read them first.
+///  2. Write on the condition that the rows have not changed since.
+///  3. On a conflict, read and evaluate again. A write that got no response is repeated with the
+///     same condition: at most one of the attempts takes effect, and a conflict caused by an
+///     earlier attempt is resolved by evaluating the stored rows.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,8 @@
 
 namespace sailgate::store {
 
-/// What is updated. Evaluating must be idempotent: an earlier try may have taken effect unseen.
+/// The data to update. Evaluation must be idempotent: an earlier attempt may have taken effect
+/// although its response was lost.
 class UpdateSubject {
  public:
   UpdateSubject() = default;
@@ -24,15 +25,16 @@
   UpdateSubject& operator=(const UpdateSubject&) = delete;
   virtual ~UpdateSubject() = default;
 
-  /// Takes the rows as the store has them.
+  /// Replaces the cached rows by those read from the store.
   virtual void load(std::vector<Row> rows) = 0;
-  /// Decides. @return what must be written for the decision to hold; nothing when nothing changes.
+  /// Makes the decision. @return the transaction that must commit for the decision to hold;
+  /// nullopt if nothing changes.
   virtual std::optional<Transaction> evaluate() = 0;
-  /// The last transaction was written, as this version.
+  /// The last transaction was committed with this version.
   virtual void written(std::int64_t version) = 0;
 };
 
-/// Rules a proof may replace.
+/// Safety rules of an update. The simulation disables single rules to show that each is necessary.
 class UpdateRules {
  public:
   UpdateRules() = default;
@@ -40,11 +42,12 @@
   UpdateRules& operator=(const UpdateRules&) = delete;
   virtual ~UpdateRules() = default;
 
-  /// A write takes effect only where nothing changed since its rows were read.
+  /// A write takes effect only if its rows have not changed since they were read.
   virtual bool conditional() const { return true; }
-  /// A decision that changes nothing holds only on rows read after the question.
+  /// A decision that writes nothing holds only for rows read after the update began.
   virtual bool verify_cached() const { return true; }
-  /// What a write without an answer did is not known.
+  /// Whether a write without a response counts as committed. Its outcome is unknown, so it must
+  /// not.
   virtual bool unanswered_is_done() const { return false; }
 };
 
@@ -54,14 +57,14 @@
   struct Step {
     enum class Kind { kRead, kWrite, kDone };
     Kind kind = Kind::kDone;
-    base::Millis wait = 0;  ///< before doing it
+    base::Millis wait = 0;  ///< delay before the step
     RangeRead read;
     Transaction write;
-    bool decided = false;  ///< kDone: the decision holds; false: nobody could tell in time
+    bool decided = false;  ///< for kDone: the decision holds; false: no outcome before the deadline
   };
 
-  /// @param cached whether the subject already has rows, which may be out of date.
-  /// @param give_up_at time at which the update ends undecided.
+  /// @param cached whether the subject already has rows, which may be stale.
+  /// @param give_up_at deadline after which the update ends without a decision.
   OptimisticUpdate(const UpdateRules& rules, UpdateSubject& subject, RangeRead range, bool cached,
                    base::Millis give_up_at);
 
@@ -72,7 +75,7 @@
  private:
   Step evaluate();
   Step read(base::Millis wait);
-  Step again(Step step, base::Millis now);
+  Step retry(Step step, base::Millis now);
   static Step done(bool decided);
 
   const UpdateRules& rules_;
@@ -81,7 +84,7 @@
   bool cached_;
   bool verified_ = false;  ///< the subject's rows were read by this update
   base::Millis give_up_at_;
-  base::Millis pause_;
+  base::Millis backoff_;
   std::vector<Row> pages_;
   Transaction write_;
 };
--- a/src/store/pace.hpp
+++ b/src/store/pace.hpp
@@ -1,4 +1,4 @@
-/// @file Patience and pauses of an operation that is tried until its deadline.
+/// @file Attempt timeouts and retry backoff of an operation that is retried until its deadline.
 #pragma once
 
 #include <optional>
@@ -11,26 +11,26 @@
 /// Not thread-safe.
 class RetryBackoff {
  public:
-  /// @param patience how long the first try is waited for.
-  RetryBackoff(net::TimePoint deadline, net::Millis patience)
-      : deadline_(deadline), patience_(patience) {}
+  /// @param attempt_timeout timeout of the first attempt.
+  RetryBackoff(net::TimePoint deadline, net::Millis attempt_timeout)
+      : deadline_(deadline), attempt_timeout_(attempt_timeout) {}
 
-  /// How long the next try is waited for: not beyond the deadline, but a try that begins there is
-  /// given a moment.
+  /// Timeout of the next attempt. It ends by the deadline, except that an attempt begun close to or
+  /// after the deadline gets a short minimum.
   net::Millis attempt_timeout() const;
   bool time_left() const { return net::Clock::now() < deadline_; }
-  /// A try had no answer: the answer may be lost or late, so that the next one is waited for longer
-  /// and a slow store is not flooded.
+  /// Doubles the timeout of the next attempt after one without a response: the response may be late
+  /// rather than lost, and a slow store must not be flooded with retries.
   void increase_timeout();
-  /// Jittered pause before the next try, longer each time; nullopt when the deadline comes first.
+  /// Jittered exponential backoff before the next attempt; nullopt if it would reach the deadline.
   std::optional<net::Millis> next_backoff(base::Random& random);
 
  private:
   net::TimePoint deadline_;
-  net::Millis patience_;
-  net::Millis pause_ = kShortestPause;
+  net::Millis attempt_timeout_;
+  net::Millis backoff_ = kInitialBackoff;
 
-  static constexpr net::Millis kShortestPause{30};
+  static constexpr net::Millis kInitialBackoff{30};
 };
 
 }  // namespace sailgate::store
--- a/src/store/part_health.hpp
+++ b/src/store/part_health.hpp
@@ -1,4 +1,4 @@
-/// @file Which parts of the store failed lately.
+/// @file Tracks which partitions of the store failed recently.
 #pragma once
 
 #include <string>
@@ -9,17 +9,18 @@
 
 namespace sailgate::store {
 
-/// Remembers failures of single parts for a short time. Deterministic, not thread-safe.
+/// Remembers failures of single partitions for a short time. Deterministic, not thread-safe.
 class PartitionHealth {
  public:
-  void note(const std::string& part, bool answered, net::TimePoint now);
-  /// The same parts, those that failed lately last; the order is kept otherwise.
-  std::vector<std::string> order(std::vector<std::string> parts, net::TimePoint now) const;
+  void note(const std::string& partition, bool answered, net::TimePoint now);
+  /// Moves the partitions that failed recently to the end and keeps the order otherwise.
+  std::vector<std::string> order(std::vector<std::string> partitions, net::TimePoint now) const;
 
  private:
-  bool failed_lately(const std::string& part, net::TimePoint now) const;
+  bool recently_failed(const std::string& partition, net::TimePoint now) const;
 
-  std::unordered_map<std::string, net::TimePoint> failed_at_;  ///< bounded by the number of parts
+  std::unordered_map<std::string, net::TimePoint>
+      failed_at_;  ///< bounded by the number of partitions
 };
 
 }  // namespace sailgate::store
--- a/src/store/reachability.cpp
+++ b/src/store/reachability.cpp
@@ -4,26 +4,28 @@
 
 namespace {
 
-constexpr int kFailuresInARow = 4;
-constexpr net::Millis kFailingTime{150};
-/// Counts like one outage that was seen: what outages that outlast a few repeats last at least.
-constexpr net::Millis kPresumedOutage{2000};
+constexpr int kMinConsecutiveFailures = 4;
+constexpr net::Millis kMinFailureDuration{150};
+/// Prior for the mean outage duration, weighted like one observed outage: the minimum duration of
+/// outages that outlast a few retries.
+constexpr net::Millis kPriorOutage{2000};
 
 }  // namespace
 
 void Reachability::note(bool answered, net::TimePoint now) {
   if (answered) {
-    if (!answers(now)) note_return(now);
-    failures_in_a_row_ = 0;
+    if (!answers(now)) record_outage_end(now);
+    consecutive_failures_ = 0;
     answered_at_ = now;
     return;
   }
-  if (failures_in_a_row_ == 0) failing_since_ = now;
-  ++failures_in_a_row_;
+  if (consecutive_failures_ == 0) failing_since_ = now;
+  ++consecutive_failures_;
 }
 
 bool Reachability::answers(net::TimePoint now) const {
-  return failures_in_a_row_ < kFailuresInARow || now < failing_since_ + kFailingTime;
+  return consecutive_failures_ < kMinConsecutiveFailures ||
+         now < failing_since_ + kMinFailureDuration;
 }
 
 net::Millis Reachability::unanswered(net::TimePoint now) const {
@@ -32,16 +34,16 @@
   return std::chrono::duration_cast<net::Millis>(now - since);
 }
 
-void Reachability::note_return(net::TimePoint now) {
-  ++outages_;
-  outage_time_ += std::chrono::duration_cast<net::Millis>(now - failing_since_);
+void Reachability::record_outage_end(net::TimePoint now) {
+  ++ended_outages_;
+  total_outage_time_ += std::chrono::duration_cast<net::Millis>(now - failing_since_);
 }
 
 net::Millis Reachability::expected_outage(net::TimePoint now) const {
   if (answers(now)) return net::Millis(0);
   const auto age = std::chrono::duration_cast<net::Millis>(now - failing_since_);
-  const auto usual = (kPresumedOutage + outage_time_) / (1 + outages_);
-  return age < usual ? usual - age : age;
+  const auto mean_duration = (kPriorOutage + total_outage_time_) / (1 + ended_outages_);
+  return age < mean_duration ? mean_duration - age : age;
 }
 
 }  // namespace sailgate::store
--- a/src/store/reachability.hpp
+++ b/src/store/reachability.hpp
@@ -1,34 +1,34 @@
-/// @file Whether the store answers this node at all.
+/// @file Detects whether this node can reach the store at all.
 #pragma once
 
 #include "net/asio.hpp"
 
 namespace sailgate::store {
 
-/// Judged by the calls' own ends: single parts that fail do not count while others answer.
-/// Deterministic, not thread-safe.
+/// Passive health check based on the results of regular calls. Failures of single partitions do not
+/// count while others respond. Deterministic, not thread-safe.
 class Reachability {
  public:
   void note(bool answered, net::TimePoint now);
-  /// False when several calls in a row have failed for some time.
+  /// False after several consecutive failures that span a minimum time.
   bool answers(net::TimePoint now) const;
-  int consecutive_failures() const { return failures_in_a_row_; }
-  /// Time since the last answer.
+  int consecutive_failures() const { return consecutive_failures_; }
+  /// Time since the last response; before any response, since the first failure.
   net::Millis unanswered(net::TimePoint now) const;
-  /// How much longer the store is expected to be away; 0 while it answers.
+  /// Expected remaining duration of the outage; 0 while the store responds.
   ///
-  /// While an outage is younger than those before it were in the mean, it is expected to last as
-  /// long as they did; after that, as long again as it has lasted.
+  /// An outage shorter than the mean of the previous ones is expected to reach that mean; a longer
+  /// one is expected to last as long again as it has lasted so far.
   net::Millis expected_outage(net::TimePoint now) const;
 
  private:
-  void note_return(net::TimePoint now);
+  void record_outage_end(net::TimePoint now);
 
-  int failures_in_a_row_ = 0;
+  int consecutive_failures_ = 0;
   net::TimePoint failing_since_{};
-  net::TimePoint answered_at_{};  ///< zero: never yet
-  int outages_ = 0;               ///< that have ended
-  net::Millis outage_time_{0};    ///< of all of them
+  net::TimePoint answered_at_{};      ///< time of the last response; zero: none yet
+  int ended_outages_ = 0;             ///< number of ended outages
+  net::Millis total_outage_time_{0};  ///< total duration of the ended outages
 };
 
 }  // namespace sailgate::store
--- a/src/store/row_parts.cpp
+++ b/src/store/row_parts.cpp
@@ -8,29 +8,32 @@
 
 namespace {
 
-/// Rows are spread over this many parts: a part is written in turn.
-constexpr std::uint64_t kParts = 256;
-/// With a third of the parts out of service, all candidates of a row are so once in 80.
-constexpr std::uint64_t kCandidates = 4;
+/// Writes within a partition are serialized, so rows are distributed over this many.
+constexpr std::uint64_t kPartitionCount = 256;
+/// With a third of the partitions unavailable, one row in 80 has no available candidate.
+constexpr std::uint64_t kCandidateCount = 4;
 
-std::uint64_t first_part(const std::string& key) {
-  return static_cast<std::uint64_t>(base::fast_digest(key)) % kParts;
+std::uint64_t preferred_partition(const std::string& key) {
+  return static_cast<std::uint64_t>(base::fast_digest(key)) % kPartitionCount;
 }
 
 }  // namespace
 
-std::uint64_t partition_count() { return kParts; }
+std::uint64_t partition_count() { return kPartitionCount; }
 
 std::string partition_name(std::uint64_t index) { return std::to_string(index); }
 
-std::string partition_of(const std::string& key) { return partition_name(first_part(key)); }
+std::string partition_of(const std::string& key) {
+  return partition_name(preferred_partition(key));
+}
 
 std::vector<std::string> candidate_partitions(const std::string& key) {
-  std::vector<std::string> parts;
-  for (std::uint64_t i = 0; i < kCandidates; ++i) {
-    parts.push_back(partition_name((first_part(key) + i * (kParts / kCandidates)) % kParts));
+  std::vector<std::string> partitions;
+  for (std::uint64_t i = 0; i < kCandidateCount; ++i) {
+    partitions.push_back(partition_name(
+        (preferred_partition(key) + i * (kPartitionCount / kCandidateCount)) % kPartitionCount));
   }
-  return parts;
+  return partitions;
 }
 
 }  // namespace sailgate::store
--- a/src/store/row_parts.hpp
+++ b/src/store/row_parts.hpp
@@ -1,4 +1,4 @@
-/// @file In which parts of the store a row is kept.
+/// @file Maps rows to partitions of the store.
 #pragma once
 
 #include <cstdint>
@@ -7,14 +7,14 @@
 
 namespace sailgate::store {
 
-/// Parts that rows are spread over, and the name of each, counted from 0.
+/// Number of partitions, and the name of the partition with a zero-based index.
 std::uint64_t partition_count();
 std::string partition_name(std::uint64_t index);
 
-/// The one part of a row that changes.
+/// Partition of a mutable row.
 std::string partition_of(const std::string& key);
 
-/// Parts that a row that never changes may be in: any one of them, the first one by preference.
+/// Partitions in which an immutable row may be stored, the preferred one first.
 std::vector<std::string> candidate_partitions(const std::string& key);
 
 }  // namespace sailgate::store
--- a/src/store/space_watch.hpp
+++ b/src/store/space_watch.hpp
@@ -1,22 +1,22 @@
-/// @file Whether the store has space for further rows.
+/// @file Detects whether the store has capacity for further rows.
 #pragma once
 
 #include "store/table_store.hpp"
 
 namespace sailgate::store {
 
-/// Goes by how writes end. Deterministic, not thread-safe.
+/// Derived from the results of writes. Deterministic, not thread-safe.
 class SpaceMonitor {
  public:
-  /// A transaction ended. @param puts_rows it wrote rows, not only removed some.
-  /// @return whether full() changed.
+  /// Records the result of a transaction. @param puts_rows whether it wrote rows rather than only
+  /// removing some. @return whether full() changed.
   bool note(StoreStatus status, bool puts_rows) {
     const bool before = full_;
     if (status == StoreStatus::kFull) full_ = true;
     if (status == StoreStatus::kDone && puts_rows) full_ = false;
     return full_ != before;
   }
-  /// The last write of rows that the store decided on was refused for want of space.
+  /// Whether the store rejected a write for lack of space and has accepted no row since.
   bool full() const { return full_; }
 
  private:
--- a/src/store/store_clock.hpp
+++ b/src/store/store_clock.hpp
@@ -1,4 +1,5 @@
-/// @file The table store's own clock, by which all nodes agree on how old a row is.
+/// @file Estimate of the table store's clock, the common reference of all nodes for the age of
+/// rows.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +9,13 @@
 
 namespace sailgate::store {
 
-/// Estimate from the newest answer of the store. It is late by at most the time that the answer
-/// took. Deterministic, not thread-safe.
+/// Extrapolates from the latest response of the store. The estimate lags by at most the latency of
+/// that response. Deterministic, not thread-safe.
 class StoreClock {
  public:
-  /// An answer that was received now told the store's time. @param store_ms 0: it did not.
+  /// Records the store's time from a response. @param store_ms 0: the response did not contain it.
   void observe(std::int64_t store_ms, net::TimePoint received_at);
-  /// The store's time in milliseconds; nullopt before any answer.
+  /// The store's time in milliseconds; nullopt before the first response.
   std::optional<std::int64_t> now(net::TimePoint local) const;
 
  private:
--- a/src/store/table_follower.cpp
+++ b/src/store/table_follower.cpp
@@ -6,24 +6,24 @@
 
 namespace {
 
-/// A feed without changes answers after this time.
+/// The store responds to a feed request without changes after this time.
 constexpr net::Millis kFeedWait{2000};
-/// An answer that is later than this is not waited for.
+/// Timeout of a feed request; must exceed kFeedWait.
 constexpr net::Millis kFeedTimeout{2500};
 constexpr net::Millis kReadTimeout{800};
-constexpr net::Millis kRetryPause{150};
+constexpr net::Millis kRetryDelay{150};
 
 }  // namespace
 
 TableFollower::TableFollower(net::asio::io_context& context, TableStore& store,
                              observe::StructuredLog& log, std::string table,
-                             FollowerCallbacks callbacks, net::Millis gather)
+                             FollowerCallbacks callbacks, net::Millis batch_delay)
     : context_(context),
       store_(store),
       log_(log),
       table_(std::move(table)),
       callbacks_(std::move(callbacks)),
-      gather_(gather) {}
+      batch_delay_(batch_delay) {}
 
 void TableFollower::note_version(std::int64_t version) {
   newest_seen_ = std::max(newest_seen_, version);
@@ -32,8 +32,9 @@
 void TableFollower::note_contact(bool reached) {
   callbacks_.on_reachability(reached);
   const auto now = net::Clock::now();
-  const bool known = last_contact_ != net::TimePoint{};
-  const bool returned = reached && !reached_ && known && now >= last_contact_ + kShortestAbsence;
+  const bool contacted_before = last_contact_ != net::TimePoint{};
+  const bool returned =
+      reached && !reached_ && contacted_before && now >= last_contact_ + kMinOutage;
   if (returned) returned_at_ = now;
   if (reached) last_contact_ = now;
   if (reached == reached_) return;
@@ -43,7 +44,7 @@
       .with("version", version_);
 }
 
-net::asio::awaitable<bool> TableFollower::read_whole() {
+net::asio::awaitable<bool> TableFollower::read_snapshot() {
   std::vector<Row> rows;
   std::string from;
   std::int64_t version = 0;
@@ -72,7 +73,7 @@
   }
   version_ = version;
   note_version(version);
-  whole_ = true;
+  has_snapshot_ = true;
   callbacks_.on_snapshot(rows);
   co_return true;
 }
@@ -83,7 +84,7 @@
   if (changes.status == StoreStatus::kHistoryLost) {
     log_.event("feed_history_lost").with("table", table_).with("version", version_);
     note_version(changes.version);
-    whole_ = false;
+    has_snapshot_ = false;
     co_return true;
   }
   note_contact(changes.status == StoreStatus::kDone);
@@ -91,19 +92,19 @@
   for (const auto& row : changes.rows) callbacks_.on_change(row);
   version_ = std::max(version_, changes.version);
   note_version(version_);
-  if (!changes.rows.empty()) co_await net::sleep_for(context_, gather_);
+  if (!changes.rows.empty()) co_await net::sleep_for(context_, batch_delay_);
   co_return true;
 }
 
 net::asio::awaitable<void> TableFollower::run() {
   while (!stopped_) {
     bool progress = false;
-    if (whole_) {
+    if (has_snapshot_) {
       progress = co_await follow();
     } else {
-      progress = co_await read_whole();
+      progress = co_await read_snapshot();
     }
-    if (!progress) co_await net::sleep_for(context_, kRetryPause);
+    if (!progress) co_await net::sleep_for(context_, kRetryDelay);
   }
 }
 
--- a/src/store/table_follower.hpp
+++ b/src/store/table_follower.hpp
@@ -1,4 +1,4 @@
-/// @file Mirrors one part-less table of the store by its change feed.
+/// @file Mirrors an unpartitioned table of the store through its change feed.
 #pragma once
 
 #include <functional>
@@ -10,41 +10,42 @@
 
 namespace sailgate::store {
 
-/// What a follower tells its owner.
+/// Events that a follower reports.
 struct FollowerCallbacks {
-  std::function<void(const std::vector<Row>&)> on_snapshot;  ///< the table as it is
-  std::function<void(const Row&)> on_change;                 ///< one row changed or is gone
-  std::function<void(bool)> on_reachability;                 ///< the store was reached, or was not
+  std::function<void(const std::vector<Row>&)> on_snapshot;  ///< complete contents of the table
+  std::function<void(const Row&)> on_change;                 ///< a row was written or removed
+  std::function<void(bool)> on_reachability;  ///< whether the latest call reached the store
 };
 
-/// Steps: read the table whole; follow its changes; when the history is lost, read it whole again.
-/// An answer older than one already seen is not taken over. Every wait has a timeout of its own, so
-/// that a silent store is noticed.
+/// Reads a snapshot of the table and then follows its changes; takes a new snapshot when the change
+/// history is lost. A snapshot older than a version already observed is discarded. Every call has a
+/// timeout, so that an unresponsive store is detected.
 class TableFollower {
  public:
-  /// @param gather after changes came, those that follow them are waited for this long and fetched
-  /// in one call. A change that comes alone is not delayed.
+  /// @param batch_delay delay after a feed response with changes, so that the changes that follow
+  /// are fetched in one call. An isolated change is not delayed.
   TableFollower(net::asio::io_context& context, TableStore& store, observe::StructuredLog& log,
-                std::string table, FollowerCallbacks callbacks, net::Millis gather);
+                std::string table, FollowerCallbacks callbacks, net::Millis batch_delay);
 
   net::asio::awaitable<void> run();
   void stop() { stopped_ = true; }
-  /// Somebody has seen this version of the store: older answers are stale.
+  /// Another component has observed this version of the store: older snapshots are stale.
   void note_version(std::int64_t version);
   std::int64_t newest_seen() const { return newest_seen_; }
-  /// Whether the store is away, or came back so lately that entries which lapsed meanwhile may not
-  /// be back yet: a row that is gone does not tell that its owner is.
+  /// Whether the store is unreachable, or has returned so recently that entries which expired
+  /// during the outage may not have been renewed yet. Meanwhile a missing row does not mean that
+  /// its owner is down.
   bool entries_may_be_missing(net::TimePoint now) const {
-    return !reached_ || now < returned_at_ + kReturnTime;
+    return !reached_ || now < returned_at_ + kRenewalTime;
   }
 
  private:
-  /// Owners that live renew their entries within two seconds of the store's return.
-  static constexpr net::Millis kReturnTime{2200};
-  /// Entries outlast shorter absences: they lapse after some missed heartbeats of their owners.
-  static constexpr net::Millis kShortestAbsence{1000};
+  /// Running owners renew their entries within two seconds of the store's return.
+  static constexpr net::Millis kRenewalTime{2200};
+  /// Entries survive shorter outages: they expire only after their owners miss several heartbeats.
+  static constexpr net::Millis kMinOutage{1000};
 
-  net::asio::awaitable<bool> read_whole();
+  net::asio::awaitable<bool> read_snapshot();
   net::asio::awaitable<bool> follow();
   void note_contact(bool reached);
 
@@ -53,13 +54,13 @@
   observe::StructuredLog& log_;
   std::string table_;
   FollowerCallbacks callbacks_;
-  net::Millis gather_;
-  std::int64_t version_ = 0;  ///< of the mirror
+  net::Millis batch_delay_;
+  std::int64_t version_ = 0;  ///< version that the mirror reflects
   std::int64_t newest_seen_ = 0;
-  bool whole_ = false;
+  bool has_snapshot_ = false;
   bool reached_ = false;
   net::TimePoint last_contact_{};
-  net::TimePoint returned_at_{};  ///< after the last absence in which entries may have lapsed
+  net::TimePoint returned_at_{};  ///< end of the last outage in which entries may have expired
   bool stopped_ = false;
 };
 
--- a/src/store/table_store.hpp
+++ b/src/store/table_store.hpp
@@ -9,7 +9,8 @@
 
 namespace sailgate::store {
 
-/// Identity of a row. Rows of one part are written in turn; parts do not disturb each other.
+/// Identity of a row. Writes within a partition (`part`) are serialized; partitions are
+/// independent.
 struct RowId {
   std::string table;
   std::string part;
@@ -19,17 +20,17 @@
 struct Row {
   RowId id;
   std::string value;         ///< raw bytes
-  std::int64_t version = 0;  ///< of the transaction that wrote it
-  bool removed = false;      ///< in feeds: the row is gone
+  std::int64_t version = 0;  ///< version of the transaction that wrote the row
+  bool removed = false;      ///< feeds only: the row was removed
 };
 
-/// The row must have this version; 0: it must not exist.
+/// Precondition: the row has this version; 0: it does not exist.
 struct RowCondition {
   RowId id;
   std::int64_t version = 0;
 };
 
-/// All or nothing; all entries have one part.
+/// Atomic; all entries are in the same partition.
 struct Transaction {
   std::vector<RowCondition> conditions;
   std::vector<Row> puts;
@@ -38,29 +39,29 @@
 
 enum class StoreStatus {
   kDone,
-  kConflict,     ///< a condition did not hold; nothing was done
-  kRefused,      ///< nothing was done, may be tried again
-  kUnknown,      ///< no answer: it may have been done, or may be done later
-  kHistoryLost,  ///< feeds only: read the table whole
-  kFull,         ///< nothing was done: the store keeps as much as it can
-  kThrottled,    ///< nothing was done: more calls a second than the store takes
+  kConflict,     ///< a condition did not hold; not executed
+  kRefused,      ///< not executed, may be retried
+  kUnknown,      ///< no response: may have been executed, or may still be
+  kHistoryLost,  ///< feeds only: the change history is incomplete, read the whole table
+  kFull,         ///< not executed: the store is out of space
+  kThrottled,    ///< not executed: the store's request rate limit is exceeded
 };
 
 /// Stable name, for logs and metrics.
 const char* name_of(StoreStatus status);
 
-/// The store took the call and said what it did.
+/// The store processed the call and reported the outcome.
 inline bool answered(StoreStatus status) {
   return status == StoreStatus::kDone || status == StoreStatus::kConflict;
 }
 
-/// The store took notice of the call: it is there, and within this node's reach. One that is full
-/// answers everybody alike, so that another way to it helps nobody.
+/// The call reached a working store. This includes a full store: it rejects writes from every node,
+/// so that sending the call over another route would not help.
 inline bool reached(StoreStatus status) {
   return answered(status) || status == StoreStatus::kHistoryLost || status == StoreStatus::kFull;
 }
 
-/// Nothing, or nothing that is known, was done.
+/// The call was not executed, or its outcome is unknown.
 inline bool failed(StoreStatus status) {
   return status == StoreStatus::kRefused || status == StoreStatus::kUnknown ||
          status == StoreStatus::kFull || status == StoreStatus::kThrottled;
@@ -68,29 +69,29 @@
 
 struct StoreResult {
   StoreStatus status = StoreStatus::kUnknown;
-  std::vector<Row> rows;     ///< what was read; on kConflict the condition rows as they are
-  std::int64_t version = 0;  ///< newest version the store had
-  bool more = false;         ///< reads: rows beyond these exist
-  std::int64_t now_ms = 0;   ///< the store's steady clock; 0: not told
+  std::vector<Row> rows;     ///< rows read; on kConflict the current rows of the conditions
+  std::int64_t version = 0;  ///< latest version of the store
+  bool more = false;         ///< reads: the range has further rows
+  std::int64_t now_ms = 0;   ///< the store's steady clock; 0: not reported
 };
 
-/// Range of keys in one part of a table.
+/// Range of keys in one partition of a table.
 struct RangeRead {
   std::string table;
   std::string part;
-  std::string from_key;  ///< inclusive; empty: from the start
-  std::string to_key;    ///< exclusive; empty: to the end
+  std::string from_key;  ///< inclusive; empty: from the first key
+  std::string to_key;    ///< exclusive; empty: to the last key
   int limit = 500;
 };
 
-/// Client side of the store. All calls end within their timeout and never throw.
+/// Client interface of the store. Every call ends within its timeout and never throws.
 class TableStore {
  public:
   virtual ~TableStore() = default;
   virtual net::asio::awaitable<StoreResult> transact(Transaction transaction,
                                                      net::Millis timeout) = 0;
   virtual net::asio::awaitable<StoreResult> read(RangeRead range, net::Millis timeout) = 0;
-  /// Changes of `table` after version `after`; waits up to `wait` for one.
+  /// Changes of `table` after version `after`. Long poll: waits up to `wait` for the first change.
   virtual net::asio::awaitable<StoreResult> follow(std::string table, std::int64_t after,
                                                    net::Millis wait, net::Millis timeout) = 0;
 };
--- a/src/store/unchanging_rows.hpp
+++ b/src/store/unchanging_rows.hpp
@@ -1,4 +1,4 @@
-/// @file Rows that are written once and never change, kept in any one of several parts.
+/// @file Write-once rows, each stored in any one of several candidate partitions.
 #pragma once
 
 #include <memory>
@@ -18,76 +18,82 @@
 struct RowLookupResult {
   RowLookup lookup = RowLookup::kUnavailable;
   std::string value;
-  std::int64_t version = 0;  ///< of the store, when absence was seen
+  std::int64_t version = 0;  ///< store version at which the row was absent
 };
 
-/// While a part of the store is out of service, rows go to another of their candidate parts. Since
-/// a row never changes, it does not matter which of them has it, nor whether several have.
-/// Answers that are late or lost: from when answers usually come a further try begins, in another
-/// candidate part, while the ones before are still waited for, and the first answer counts. With a
-/// store that turned from 4 to 240 ms the first write took 1,179 ms when each try was given up
-/// before the next one began, 240 ms so; while a third of the answers were lost after that, writes
-/// took 627 ms in the mean, 84 ms so.
-/// Not thread-safe.
+/// While a partition of the store is unavailable, rows are written to another candidate partition.
+/// Since a row never changes, it does not matter which candidates hold it, or whether several do.
+///
+/// Late and lost responses are handled by hedging: once a response is overdue, a further attempt
+/// starts in another candidate partition while the earlier ones stay in flight, and the first
+/// response wins. When the store slowed down from 4 to 240 ms, the first write took 1,179 ms if
+/// each attempt was abandoned before the next one began, and 240 ms with hedging; when a third of
+/// the responses were lost after that, the mean write took 627 and 84 ms. Not thread-safe.
 class ImmutableRows {
  public:
-  /// @param latency what is known of the store's answer times; kept up here.
+  /// @param latency shared estimate of the store's response time; updated by every attempt.
   ImmutableRows(net::asio::io_context& context, TableStore& store, LatencyEstimate& latency,
                 std::uint64_t seed)
       : context_(context), store_(store), latency_(latency), random_(seed) {}
 
-  /// Writes a row to the first candidate part that takes it. One try is made even when the deadline
-  /// is over, and none after the store said that it is full, which holds for all parts: a row made
-  /// 20 calls in 400 ms without this, one with it (store_space_test).
-  /// @return whether the store has it.
-  /// @param companions rows that are written in the same transaction, in the part that is chosen.
+  /// Writes a row to the first candidate partition that accepts it. Makes one attempt even if the
+  /// deadline has passed, and no further one after the store has reported that it is full, which
+  /// applies to all partitions: without this rule one row caused 20 calls within 400 ms instead of
+  /// one (store_space_test).
+  /// @param extra_rows rows written in the same transaction, to the same partition.
+  /// @return whether the store confirmed the write.
   net::asio::awaitable<bool> put(std::string table, std::string key, std::string value,
-                                 std::vector<Row> companions, net::TimePoint deadline);
-  /// Absent is said only when every candidate part was read.
+                                 std::vector<Row> extra_rows, net::TimePoint deadline);
+  /// Returns kAbsent only if every candidate partition was read.
   net::asio::awaitable<RowLookupResult> find(std::string table, std::string key,
                                              net::TimePoint deadline);
 
-  /// Whether a try may begin while others are under way.
-  void set_overlapping(bool overlapping) { overlapping_ = overlapping; }
+  /// Enables hedging: whether an attempt may start while others are in flight.
+  void set_overlapping(bool hedging) { hedging_ = hedging; }
 
  private:
-  /// The tries of one call, of which several may be under way.
-  struct Race {
-    explicit Race(net::asio::io_context& context) : ended(context) {}
+  /// State of one call and its attempts, several of which may be in flight.
+  struct HedgedCall {
+    explicit HedgedCall(net::asio::io_context& context) : attempt_ended(context) {}
 
-    net::asio::steady_timer ended;  ///< cancelled when a try ends
-    bool begun = false;
-    std::vector<std::string> under_way;  ///< parts
-    std::size_t failed = 0;              ///< tries, since the last look
-    std::size_t failures = 0;            ///< tries, since the last pause
-    bool full = false;                   ///< the store has no space
-    bool throttled = false;  ///< a try was beyond the store's rate, since the last pause
-    int rounds = 0;          ///< in which as many tries failed as there are parts
-    std::vector<std::pair<std::string, StoreResult>> answers;  ///< with their parts
+    net::asio::steady_timer attempt_ended;  ///< cancelled to signal that an attempt ended
+    bool started = false;
+    std::vector<std::string> in_flight;  ///< partitions of the attempts in flight
+    std::size_t new_failures = 0;        ///< refused attempts not yet added to `failures`
+    std::size_t failures = 0;            ///< failed attempts since the last backoff
+    bool full = false;                   ///< the store is out of space
+    bool throttled = false;  ///< an attempt exceeded the store's rate limit since the last backoff
+    int rounds = 0;          ///< number of backoffs, each after a failed round of attempts
+    std::vector<std::pair<std::string, StoreResult>> responses;  ///< by partition
   };
-  using RacePointer = std::shared_ptr<Race>;
+  using HedgedCallPointer = std::shared_ptr<HedgedCall>;
 
-  net::asio::awaitable<void> try_put(RacePointer race, Transaction transaction, net::Millis limit);
-  net::asio::awaitable<void> try_read(RacePointer race, RangeRead range, net::Millis limit);
-  bool may_begin_try(const Race& race, net::TimePoint deadline) const;
-  /// Part of the next try, of those in this order, which changes; it is under way then.
-  static std::string next_part(Race& race, std::vector<std::string>& parts);
-  /// Whether a pause is due: so many tries have failed, or one was beyond the store's rate, of
-  /// which other parts have no more.
-  static bool round_failed(Race& race, std::size_t parts);
-  /// Waits until a try ends, at most so long.
-  net::asio::awaitable<void> wait(RacePointer race, net::Millis longest);
-  /// How long a try is waited for: others may begin meanwhile.
-  net::Millis limit_of_try(const Race& race, net::TimePoint deadline) const;
-  void take(Race& race, const std::string& part, StoreResult result, net::TimePoint sent_at);
+  net::asio::awaitable<void> attempt_put(HedgedCallPointer call, Transaction transaction,
+                                         net::Millis timeout);
+  net::asio::awaitable<void> attempt_read(HedgedCallPointer call, RangeRead range,
+                                          net::Millis timeout);
+  bool may_start_attempt(const HedgedCall& call, net::TimePoint deadline) const;
+  /// Selects the partition of the next attempt, moves it to the end of `partitions` and marks it as
+  /// in flight.
+  static std::string next_partition(HedgedCall& call, std::vector<std::string>& partitions);
+  /// Whether a backoff is due: `partitions` attempts have failed, or one was throttled, in which
+  /// case other partitions would throttle too because the rate limit applies to the whole store.
+  static bool round_failed(HedgedCall& call, std::size_t partitions);
+  /// Waits until an attempt ends or `max_wait` has passed.
+  net::asio::awaitable<void> wait(HedgedCallPointer call, net::Millis max_wait);
+  /// Timeout of an attempt; others may start before it expires.
+  net::Millis timeout_for_attempt(const HedgedCall& call, net::TimePoint deadline) const;
+  void record(HedgedCall& call, const std::string& partition, StoreResult result,
+              net::TimePoint sent_at);
 
   net::asio::io_context& context_;
   TableStore& store_;
   LatencyEstimate& latency_;
   PartitionHealth health_;
   base::Random random_;
-  bool overlapping_ = true;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  ///< tries may outlive their call
+  bool hedging_ = true;
+  std::shared_ptr<bool> alive_ =
+      std::make_shared<bool>(true);  ///< attempts may outlive this object
 };
 
 }  // namespace sailgate::store
