--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -18,7 +18,7 @@
 /// Reason why an exchange produced no response.
 enum class ExchangeFailure {
   kNone,
-  kNotSent,     ///< no connection: the server has seen nothing of the request
+  kNotSent,     ///< no connection: no part of the request was sent
   kNoResponse,  ///< the server may have processed the request
 };
 
--- a/src/store/pace.hpp
+++ b/src/store/pace.hpp
@@ -11,9 +11,9 @@
 /// Not thread-safe.
 class RetryBackoff {
  public:
-  /// @param attempt_timeout timeout of the first attempt.
-  RetryBackoff(net::TimePoint deadline, net::Millis attempt_timeout)
-      : deadline_(deadline), attempt_timeout_(attempt_timeout) {}
+  /// @param first_timeout timeout of the first attempt.
+  RetryBackoff(net::TimePoint deadline, net::Millis first_timeout)
+      : deadline_(deadline), attempt_timeout_(first_timeout) {}
 
   /// Timeout of the next attempt. It ends by the deadline, except that an attempt begun close to or
   /// after the deadline gets a short minimum.
--- a/tests/observe/shared_log_test.cpp
+++ b/tests/observe/shared_log_test.cpp
@@ -9,7 +9,7 @@
 
 using namespace sailgate;
 
-TEST_CASE("lines of several threads are written whole", "[observe]") {
+TEST_CASE("lines from several threads are not interleaved", "[observe]") {
   int ends[2];
   REQUIRE(pipe(ends) == 0);
   {
--- a/tests/observe/structured_log_test.cpp
+++ b/tests/observe/structured_log_test.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-TEST_CASE("each line is one JSON object, whatever a caller sends", "[observe]") {
+TEST_CASE("each line is one JSON object for arbitrary input", "[observe]") {
   Pipe pipe;
   observe::StructuredLog log(pipe.ends[1]);
   log.event("request").with("id", std::string("a\"b\\c\n\x01\xff")).with("elapsed_ms", 7);
--- a/tests/store/latency_estimate_test.cpp
+++ b/tests/store/latency_estimate_test.cpp
@@ -5,7 +5,7 @@
 using namespace sailgate;
 using store::LatencyEstimate;
 
-TEST_CASE("lost answers among quick ones do not lengthen the attempt timeout", "[store]") {
+TEST_CASE("lost responses among fast ones do not increase the attempt timeout", "[store]") {
   LatencyEstimate estimate;
   const auto before = estimate.attempt_timeout();
   for (int i = 0; i < 50; ++i) {
@@ -15,7 +15,7 @@
   REQUIRE(estimate.attempt_timeout() <= before);
 }
 
-TEST_CASE("a store that became slow is given its time, and loses it again", "[store]") {
+TEST_CASE("the attempt timeout follows a store that becomes slow and then fast again", "[store]") {
   LatencyEstimate estimate;
   for (auto waited = estimate.attempt_timeout(); waited < net::Millis(300); waited *= 2) {
     for (int i = 0; i < 3; ++i) estimate.observe_timeout(waited);
@@ -25,7 +25,7 @@
   REQUIRE(estimate.attempt_timeout() < net::Millis(100));
 }
 
-TEST_CASE("the attempt timeout stays within its bounds", "[store]") {
+TEST_CASE("the attempt timeout stays within its limits", "[store]") {
   LatencyEstimate estimate;
   for (int i = 0; i < 100; ++i) estimate.observe_timeout(net::Millis(60'000));
   REQUIRE(estimate.attempt_timeout() <= net::Millis(1000));
--- a/tests/store/metered_store_test.cpp
+++ b/tests/store/metered_store_test.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-TEST_CASE("calls are counted by how they ended, changes once they took effect", "[store]") {
+TEST_CASE("calls are counted by status, and changes only when committed", "[store]") {
   net::asio::io_context context;
   test::MemoryTable table(context);
   observe::StructuredLog log(-1);
--- a/tests/store/optimistic_update_test.cpp
+++ b/tests/store/optimistic_update_test.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr base::Millis kGiveUp = 1000;
+constexpr base::Millis kDeadline = 1000;
 const store::UpdateRules kRules;
 
-/// Adds one to a row that holds a number.
+/// Increments a number stored in a row.
 class Counter : public store::UpdateSubject {
  public:
   void load(std::vector<store::Row> rows) override {
@@ -52,15 +52,15 @@
     return range;
   }
   store::OptimisticUpdate update(bool cached) {
-    return {kRules, counter, range(), cached, kGiveUp};
+    return {kRules, counter, range(), cached, kDeadline};
   }
-  store::OptimisticUpdate::Step carry_out(store::OptimisticUpdate& update,
-                                          const store::OptimisticUpdate::Step& step) {
+  store::OptimisticUpdate::Step execute(store::OptimisticUpdate& update,
+                                        const store::OptimisticUpdate::Step& step) {
     if (step.kind == Kind::kRead) return update.on_read(table.read(step.read), 0);
     return update.on_write(table.transact(step.write), 0);
   }
   bool finish(store::OptimisticUpdate& update, store::OptimisticUpdate::Step step) {
-    while (step.kind != Kind::kDone) step = carry_out(update, step);
+    while (step.kind != Kind::kDone) step = execute(update, step);
     return step.decided;
   }
   int stored() { return std::stoi(table.read(range()).rows.front().value); }
@@ -68,38 +68,38 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a known row is written without being read", "[store]") {
+TEST_CASE_METHOD(Fixture, "a cached row is written without being read", "[store]") {
   auto first = update(false);
   REQUIRE(finish(first, first.start()));
   auto second = update(true);
   REQUIRE(second.start().kind == Kind::kWrite);
 }
 
-TEST_CASE_METHOD(Fixture, "what another one wrote meanwhile is not lost", "[store]") {
+TEST_CASE_METHOD(Fixture, "a concurrent write is not overwritten", "[store]") {
   auto first = update(false);
   REQUIRE(finish(first, first.start()));
   Counter other;
-  store::OptimisticUpdate foreign(kRules, other, range(), false, kGiveUp);
-  REQUIRE(finish(foreign, foreign.start()));
+  store::OptimisticUpdate concurrent(kRules, other, range(), false, kDeadline);
+  REQUIRE(finish(concurrent, concurrent.start()));
   auto second = update(true);
   REQUIRE(finish(second, second.start()));
   REQUIRE(stored() == 3);
 }
 
-TEST_CASE_METHOD(Fixture, "a cached row does not answer a question by itself", "[store]") {
+TEST_CASE_METHOD(Fixture, "a decision without a write requires a fresh read", "[store]") {
   auto first = update(false);
   REQUIRE(finish(first, first.start()));
   counter.reads_only = true;
-  auto question = update(true);
-  const auto step = question.start();
+  auto read_only = update(true);
+  const auto step = read_only.start();
   REQUIRE(step.kind == Kind::kRead);
-  REQUIRE(finish(question, step));
+  REQUIRE(finish(read_only, step));
 }
 
-TEST_CASE_METHOD(Fixture, "a write without an answer is sent again with the same condition",
+TEST_CASE_METHOD(Fixture, "a write without a response is repeated with the same condition",
                  "[store]") {
   auto lost = update(false);
-  auto step = carry_out(lost, lost.start());
+  auto step = execute(lost, lost.start());
   table.transact(step.write);
   step = lost.on_write({}, 0);
   REQUIRE(step.kind == Kind::kWrite);
@@ -108,15 +108,15 @@
   REQUIRE(stored() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "an update ends undecided when its time is over", "[store]") {
+TEST_CASE_METHOD(Fixture, "an update ends undecided at its deadline", "[store]") {
   auto silent = update(false);
   silent.start();
-  const auto step = silent.on_read({}, kGiveUp);
+  const auto step = silent.on_read({}, kDeadline);
   REQUIRE(step.kind == Kind::kDone);
   REQUIRE_FALSE(step.decided);
 }
 
-TEST_CASE_METHOD(Fixture, "long ranges are read page by page", "[store]") {
+TEST_CASE_METHOD(Fixture, "a long range is read in pages", "[store]") {
   for (int i = 0; i < 3; ++i) {
     store::Transaction transaction;
     store::Row row;
@@ -128,12 +128,12 @@
   counter.reads_only = true;
   auto small_pages = range();
   small_pages.limit = 1;
-  store::OptimisticUpdate question(kRules, counter, small_pages, false, kGiveUp);
-  auto step = question.start();
+  store::OptimisticUpdate read_only(kRules, counter, small_pages, false, kDeadline);
+  auto step = read_only.start();
   int reads = 0;
   while (step.kind == Kind::kRead) {
     ++reads;
-    step = carry_out(question, step);
+    step = execute(read_only, step);
   }
   REQUIRE(reads == 3);
   REQUIRE(counter.value == 5);
--- a/tests/store/reachability_test.cpp
+++ b/tests/store/reachability_test.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-TEST_CASE("a store that answers now and then is reachable", "[store]") {
+TEST_CASE("a store that responds intermittently is reachable", "[store]") {
   store::Reachability reachability;
   for (int i = 0; i < 100; ++i) {
     reachability.note(i % 3 == 0, at(100 * i));
@@ -18,7 +18,7 @@
   }
 }
 
-TEST_CASE("a store is taken for unreachable after several failures over some time", "[store]") {
+TEST_CASE("a store is unreachable after several failures over a minimum time", "[store]") {
   store::Reachability reachability;
   for (int i = 0; i < 10; ++i) reachability.note(false, at(0));
   REQUIRE(reachability.answers(at(10)));
@@ -27,7 +27,7 @@
   REQUIRE(reachability.answers(at(1001)));
 }
 
-TEST_CASE("an outage is expected to last as long as those before it", "[store]") {
+TEST_CASE("an outage is expected to last as long as the previous ones", "[store]") {
   store::Reachability reachability;
   const auto outage = [&](int from, int to) {
     for (int time = from; time < to; time += 100) reachability.note(false, at(time));
@@ -38,11 +38,11 @@
   outage(10'000, 14'000);
   REQUIRE(reachability.expected_outage(at(14'000)) == net::Millis(0));
   for (int time = 20'000; time <= 21'000; time += 100) reachability.note(false, at(time));
-  // Two outages of 6 and 4 s, and the presumed one of 2 s.
+  // Mean of two outages of 6 and 4 s and the prior of 2 s, less the 1 s that has elapsed.
   REQUIRE(reachability.expected_outage(at(21'000)) == net::Millis(3000));
 }
 
-TEST_CASE("an outage that outlasts the others is expected to last as long again", "[store]") {
+TEST_CASE("an outage longer than the previous ones is expected to last as long again", "[store]") {
   store::Reachability reachability;
   for (int time = 0; time <= 5000; time += 100) reachability.note(false, at(time));
   REQUIRE(reachability.expected_outage(at(5000)) == net::Millis(5000));
--- a/tests/store/retrying_store_test.cpp
+++ b/tests/store/retrying_store_test.cpp
@@ -30,13 +30,13 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a silent store is not waited for beyond the deadline", "[store]") {
+TEST_CASE_METHOD(Fixture, "a call to an unresponsive store ends at the deadline", "[store]") {
   table.set_mode(MemoryTable::Mode::kSilent);
   REQUIRE(write(net::Millis(30)) == StoreStatus::kUnknown);
   REQUIRE(table.longest_timeout() <= net::Millis(30));
 }
 
-TEST_CASE_METHOD(Fixture, "a refused call is made again until it is taken", "[store]") {
+TEST_CASE_METHOD(Fixture, "a refused call is retried until it is accepted", "[store]") {
   table.set_mode(MemoryTable::Mode::kRefuses);
   net::asio::steady_timer recovery(context, net::Millis(60));
   recovery.async_wait([this](const net::Error&) { table.set_mode(MemoryTable::Mode::kUp); });
@@ -44,7 +44,7 @@
   REQUIRE(table.writes() > 1);
 }
 
-TEST_CASE_METHOD(Fixture, "a repeat of a write that was done shows as a conflict", "[store]") {
+TEST_CASE_METHOD(Fixture, "repeating a committed write results in a conflict", "[store]") {
   table.set_mode(MemoryTable::Mode::kLosesAnswers);
   REQUIRE(write(net::Millis(0)) == StoreStatus::kUnknown);
   table.set_mode(MemoryTable::Mode::kUp);
@@ -52,6 +52,6 @@
   REQUIRE(table.has("t", "key"));
 }
 
-TEST_CASE_METHOD(Fixture, "one try is made even when the time is over", "[store]") {
+TEST_CASE_METHOD(Fixture, "one attempt is made even after the deadline", "[store]") {
   REQUIRE(write(net::Millis(-5)) == StoreStatus::kDone);
 }
--- a/tests/store/slow_store_test.cpp
+++ b/tests/store/slow_store_test.cpp
@@ -17,39 +17,40 @@
   store::ImmutableRows rows{context, table, latency, 1};
   int written = 0;
 
-  /// @return how long it took.
+  /// @return the duration of the call.
   net::Millis put() {
-    const auto began = net::Clock::now();
+    const auto started_at = net::Clock::now();
     const auto key = "key-" + std::to_string(written++);
     REQUIRE(run(context, rows.put("t", key, "v", {}, began + net::Millis(1800))));
     REQUIRE(table.has("t", key));
-    return std::chrono::duration_cast<net::Millis>(net::Clock::now() - began);
+    return std::chrono::duration_cast<net::Millis>(net::Clock::now() - started_at);
   }
   net::Millis find(const std::string& key) {
-    const auto began = net::Clock::now();
+    const auto started_at = net::Clock::now();
     const auto found = run(context, rows.find("t", key, began + net::Millis(1800)));
     REQUIRE(found.lookup == store::RowLookup::kFound);
-    return std::chrono::duration_cast<net::Millis>(net::Clock::now() - began);
+    return std::chrono::duration_cast<net::Millis>(net::Clock::now() - started_at);
   }
 };
 
 }  // namespace
 
-// Each try was given up after 70 ms and the next one began only then: five tries of a write were
-// for nothing before one was waited for.
-TEST_CASE_METHOD(SlowFixture, "a store that turns slow answers the first tries of a write",
+// Guards against abandoning responses of a store that slows down: when each attempt was abandoned
+// after 70 ms before the next one started_at, five attempts of a write were wasted before one was
+// given enough time.
+TEST_CASE_METHOD(SlowFixture, "the first attempts of a write succeed when the store becomes slow",
                  "[store][slow]") {
   for (int i = 0; i < 20; ++i) put();
   const auto calls = table.calls();
   table.set_answer_time(net::Millis(240));
   put();
-  const auto first_calls = table.calls() - calls;
+  const auto calls_of_first_write = table.calls() - calls;
   put();
   CHECK(table.given_up() == 0);
-  CHECK(first_calls <= 4);
+  CHECK(calls_of_first_write <= 4);
 }
 
-TEST_CASE_METHOD(SlowFixture, "a store that turns slow answers the first tries of a read",
+TEST_CASE_METHOD(SlowFixture, "the first attempts of a read succeed when the store becomes slow",
                  "[store][slow]") {
   for (int i = 0; i < 20; ++i) put();
   table.set_answer_time(net::Millis(240));
@@ -57,7 +58,7 @@
   CHECK(table.given_up() == 0);
 }
 
-TEST_CASE_METHOD(SlowFixture, "the next try of a write does not wait for a lost answer",
+TEST_CASE_METHOD(SlowFixture, "the next attempt of a write does not wait for a lost response",
                  "[store][slow]") {
   for (int i = 0; i < 20; ++i) put();
   const auto calls = table.calls();
@@ -67,32 +68,35 @@
   CHECK(table.calls() - calls <= 120);
 }
 
-// Time of one write, before tries overlapped and since: 1,179 and 240 ms when the store turns from
-// 4 to 240 ms; 114 and 55 ms when it loses 35 of 100 answers; 627 and 84 ms when it does so after
-// it was slow.
-TEST_CASE_METHOD(SlowFixture, "time of a write to a slow or losing store", "[.benchmark]") {
+// Duration of one write without and with hedging: 1,179 and 240 ms when the store slows down from 4
+// to 240 ms; 114 and 55 ms when it loses 35 % of its responses; 627 and 84 ms when it does so after
+// a slow period.
+TEST_CASE_METHOD(SlowFixture, "duration of a write to a store that is slow or loses responses",
+                 "[.benchmark]") {
   for (int i = 0; i < 20; ++i) put();
   table.set_answer_time(net::Millis(240));
   const auto slow = put();
   for (int i = 0; i < 5; ++i) put();
   table.set_answer_time(net::Millis(4));
   table.set_lost_percent(35);
-  net::Millis losing_after_slow{0};
-  for (int i = 0; i < 10; ++i) losing_after_slow += put() / 10;
-  net::Millis losing{0};
-  for (int i = 0; i < 40; ++i) losing += put() / 40;
-  WARN("slow " << slow.count() << " ms, losing after it " << losing_after_slow.count()
-               << " ms, losing " << losing.count() << " ms");
+  net::Millis lossy_after_slow{0};
+  for (int i = 0; i < 10; ++i) lossy_after_slow += put() / 10;
+  net::Millis lossy{0};
+  for (int i = 0; i < 40; ++i) lossy += put() / 40;
+  WARN("slow " << slow.count() << " ms, lossy after that " << lossy_after_slow.count()
+               << " ms, lossy " << lossy.count() << " ms");
 }
 
-TEST_CASE_METHOD(SlowFixture, "without overlapping a call is made at a time", "[store][slow]") {
+TEST_CASE_METHOD(SlowFixture, "without hedging only one call is in flight at a time",
+                 "[store][slow]") {
   rows.set_overlapping(false);
   table.set_answer_time(net::Millis(240));
   put();
   REQUIRE(table.most_at_once() == 1);
 }
 
-TEST_CASE_METHOD(SlowFixture, "few calls for a row are under way at once", "[store][slow]") {
+TEST_CASE_METHOD(SlowFixture, "the number of calls in flight for a row is limited",
+                 "[store][slow]") {
   table.set_lost_percent(100);
   const auto deadline = net::Clock::now() + net::Millis(1200);
   REQUIRE_FALSE(run(context, rows.put("t", "key", "v", {}, deadline)));
--- a/tests/store/table_follower_test.cpp
+++ b/tests/store/table_follower_test.cpp
@@ -19,14 +19,14 @@
   observe::StructuredLog log{::open("/dev/null", O_WRONLY)};
   MemoryTable table{context};
   std::map<std::string, std::string> mirror;
-  int wholes = 0;
+  int snapshots = 0;
   bool reached = false;
   store::TableFollower follower{context, table, log, "t", callbacks(), net::Millis(250)};
 
   store::FollowerCallbacks callbacks() {
     store::FollowerCallbacks callbacks;
     callbacks.on_snapshot = [this](const std::vector<store::Row>& rows) {
-      ++wholes;
+      ++snapshots;
       mirror.clear();
       for (const auto& row : rows) mirror[row.id.key] = row.value;
     };
@@ -46,19 +46,20 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a table is read whole and then followed", "[store]") {
+TEST_CASE_METHOD(Fixture, "a snapshot of a table is read and then its changes are followed",
+                 "[store]") {
   table.put("t", "", "a", "1");
   start();
   run_until(context, [&] { return mirror.count("a") == 1; });
   table.put("t", "", "b", "2");
   table.remove("t", "", "a");
   run_until(context, [&] { return mirror.count("b") == 1 && mirror.count("a") == 0; });
-  REQUIRE(wholes == 1);
+  REQUIRE(snapshots == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "changes that come in quick succession are fetched together", "[store]") {
+TEST_CASE_METHOD(Fixture, "changes in quick succession are fetched in one call", "[store]") {
   start();
-  run_until(context, [&] { return wholes == 1; });
+  run_until(context, [&] { return snapshots == 1; });
   for (int row = 0; row < 20; ++row) {
     table.put("t", "", "k" + std::to_string(row), "1");
     context.restart();
@@ -68,16 +69,16 @@
   REQUIRE(table.feeds_with_changes() <= 3);
 }
 
-TEST_CASE_METHOD(Fixture, "after a lost history the table is read whole again", "[store]") {
+TEST_CASE_METHOD(Fixture, "a new snapshot is read after the change history is lost", "[store]") {
   start();
-  run_until(context, [&] { return wholes == 1; });
+  run_until(context, [&] { return snapshots == 1; });
   table.put("t", "", "a", "1");
   table.forget_history();
   run_until(context, [&] { return mirror.count("a") == 1; });
-  REQUIRE(wholes == 2);
+  REQUIRE(snapshots == 2);
 }
 
-TEST_CASE_METHOD(Fixture, "a read older than what was seen is not taken over", "[store]") {
+TEST_CASE_METHOD(Fixture, "a snapshot older than an observed version is discarded", "[store]") {
   table.put("t", "", "a", "1");
   start();
   run_until(context, [&] { return mirror.count("a") == 1; });
@@ -93,7 +94,7 @@
   run_until(context, [&] { return mirror["a"] == "3"; });
 }
 
-TEST_CASE_METHOD(Fixture, "an outage is noticed and its end too", "[store]") {
+TEST_CASE_METHOD(Fixture, "the start and the end of an outage are reported", "[store]") {
   start();
   run_until(context, [&] { return reached; });
   table.set_mode(MemoryTable::Mode::kRefuses);
@@ -103,10 +104,10 @@
   run_until(context, [&] { return reached && mirror.count("a") == 1; });
 }
 
-TEST_CASE_METHOD(Fixture, "a version that somebody else saw makes older reads stale", "[store]") {
+TEST_CASE_METHOD(Fixture, "a version observed elsewhere makes older snapshots stale", "[store]") {
   table.put("t", "", "a", "1");
   follower.note_version(50);
   start();
   run_until(context, [&] { return table.reads() >= 2; });
-  REQUIRE(wholes == 0);
+  REQUIRE(snapshots == 0);
 }
--- a/tests/store/unchanging_rows_test.cpp
+++ b/tests/store/unchanging_rows_test.cpp
@@ -18,7 +18,7 @@
   MemoryTable table{context};
   store::LatencyEstimate latency;
   store::ImmutableRows rows{context, table, latency, 1};
-  std::vector<std::string> parts = store::candidate_partitions("key");
+  std::vector<std::string> partitions = store::candidate_partitions("key");
 
   bool put() {
     return run(context, rows.put("t", "key", "v", {}, net::Clock::now() + net::Millis(200)));
@@ -30,23 +30,23 @@
 
 }  // namespace
 
-TEST_CASE("the candidate parts of a row differ", "[store]") {
-  const auto parts = store::candidate_partitions("key");
-  REQUIRE(parts.size() > 1);
-  REQUIRE(std::set<std::string>(parts.begin(), parts.end()).size() == parts.size());
-  REQUIRE(parts.front() == store::partition_of("key"));
+TEST_CASE("the candidate partitions of a row are distinct", "[store]") {
+  const auto partitions = store::candidate_partitions("key");
+  REQUIRE(partitions.size() > 1);
+  REQUIRE(std::set<std::string>(partitions.begin(), partitions.end()).size() == partitions.size());
+  REQUIRE(partitions.front() == store::partition_of("key"));
 }
 
-TEST_CASE_METHOD(Fixture, "a row is written once, to its first part", "[store]") {
+TEST_CASE_METHOD(Fixture, "a row is written once, to its first partition", "[store]") {
   REQUIRE(put());
   REQUIRE(table.writes() == 1);
   REQUIRE(find(rows).value == "v");
   REQUIRE(table.reads() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "a part out of service does not keep a row from being written",
+TEST_CASE_METHOD(Fixture, "a row can be written while one of its partitions is unavailable",
                  "[store]") {
-  table.put_out_of_service({parts[0]});
+  table.put_out_of_service({partitions[0]});
   REQUIRE(put());
   store::ImmutableRows other(context, table, latency, 2);
   REQUIRE(find(other).lookup == RowLookup::kFound);
@@ -54,29 +54,31 @@
   REQUIRE(find(other).lookup == RowLookup::kFound);
 }
 
-TEST_CASE_METHOD(Fixture, "absent is not said while a candidate part cannot be read", "[store]") {
-  table.put_out_of_service({parts[0]});
+TEST_CASE_METHOD(Fixture, "a row is not reported absent while a candidate partition is unavailable",
+                 "[store]") {
+  table.put_out_of_service({partitions[0]});
   REQUIRE(put());
-  table.put_out_of_service({parts[1]});
+  table.put_out_of_service({partitions[1]});
   REQUIRE(find(rows).lookup == RowLookup::kUnavailable);
   table.put_out_of_service({});
   REQUIRE(find(rows).lookup == RowLookup::kFound);
 }
 
-TEST_CASE_METHOD(Fixture, "absent is said when all candidate parts were read", "[store]") {
+TEST_CASE_METHOD(Fixture, "a row is reported absent after all candidate partitions were read",
+                 "[store]") {
   REQUIRE(find(rows).lookup == RowLookup::kAbsent);
-  REQUIRE(table.reads() == static_cast<int>(parts.size()));
+  REQUIRE(table.reads() == static_cast<int>(partitions.size()));
 }
 
-TEST_CASE_METHOD(Fixture, "a part that failed lately is tried last", "[store]") {
-  table.put_out_of_service({parts[0]});
+TEST_CASE_METHOD(Fixture, "a partition that failed recently is tried last", "[store]") {
+  table.put_out_of_service({partitions[0]});
   REQUIRE(put());
   const int writes = table.writes();
   REQUIRE(put());
   REQUIRE(table.writes() == writes + 1);
 }
 
-TEST_CASE_METHOD(Fixture, "without the store a row is not taken for written", "[store]") {
+TEST_CASE_METHOD(Fixture, "a write is not confirmed while the store is unavailable", "[store]") {
   table.set_mode(MemoryTable::Mode::kRefuses);
   REQUIRE_FALSE(put());
   REQUIRE(find(rows).lookup == RowLookup::kUnavailable);
