--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::uint64_t kResponseLimit = 32U << 20U;
+constexpr std::uint64_t kMaxResponseBytes = 32U << 20U;
 
 }  // namespace
 
@@ -15,14 +15,14 @@
   while (!idle_.empty()) {
     auto connection = std::move(idle_.back());
     idle_.pop_back();
-    if (peek(connection->stream.socket()) == SocketState::kQuiet) co_return connection;
+    if (peek(connection->stream.socket()) == SocketState::kIdle) co_return connection;
   }
   auto connection = std::make_unique<Connection>(context_, server_);
   connection->stream.expires_at(deadline);
   Error error;
   co_await connection->stream.async_connect(connection->server, awaiting(error));
   if (error) co_return nullptr;
-  tune(connection->stream.socket());
+  set_tcp_options(connection->stream.socket());
   co_return connection;
 }
 
@@ -48,18 +48,18 @@
   co_await http::async_write(stream, request, awaiting(error));
   if (!error) {
     http::response_parser<http::string_body> parser;
-    // NOTE: Boost 1.74 takes an absent limit for zero.
-    parser.body_limit(kResponseLimit);
+    // NOTE: Boost 1.74 treats an unset limit as zero.
+    parser.body_limit(kMaxResponseBytes);
     co_await http::async_read(stream, connection->buffer, parser, awaiting(error));
     if (!error) result.response = parser.release();
   }
   if (error) {
-    result.failure = ExchangeFailure::kNoAnswer;
+    result.failure = ExchangeFailure::kNoResponse;
     co_return result;
   }
   const bool reusable = result.response.keep_alive() && connection->buffer.size() == 0 &&
                         connection->server == server_;
-  if (reusable && idle_.size() < kMostIdle) idle_.push_back(std::move(connection));
+  if (reusable && idle_.size() < kMaxIdleConnections) idle_.push_back(std::move(connection));
   co_return result;
 }
 
--- a/src/net/socket_state.hpp
+++ b/src/net/socket_state.hpp
@@ -1,4 +1,4 @@
-/// @file Looking at a connected socket without reading from it.
+/// @file State and TCP options of a connected socket.
 #pragma once
 
 #include "net/asio.hpp"
@@ -6,15 +6,15 @@
 namespace sailgate::net {
 
 enum class SocketState {
-  kQuiet,   ///< open, nothing to read
-  kData,    ///< bytes wait to be read
-  kClosed,  ///< the peer closed or reset it
+  kIdle,    ///< open, nothing to read
+  kData,    ///< bytes available to read
+  kClosed,  ///< closed or reset by the peer
 };
 
-/// Never blocks.
+/// Determines the state without consuming data. Never blocks.
 SocketState peek(asio::ip::tcp::socket& socket);
 
-/// Disables Nagle's algorithm and bounds how long a silent peer goes unnoticed.
-void tune(asio::ip::tcp::socket& socket);
+/// Disables Nagle's algorithm and limits the time until an unresponsive peer is detected.
+void set_tcp_options(asio::ip::tcp::socket& socket);
 
 }  // namespace sailgate::net
