--- a/src/serving/attempt_bound.hpp
+++ b/src/serving/attempt_bound.hpp
@@ -16,22 +16,22 @@
 class AttemptBound {
  public:
   /// @param max_engines that may work on the attempt; at least 1.
-  void set_most_engines(int max_engines) { most_engines_ = max_engines < 1 ? 1 : max_engines; }
+  void set_max_engines(int max_engines) { max_engines_ = max_engines < 1 ? 1 : max_engines; }
 
   /// The engine's connection was reset under the request: it may still be working on it.
-  void note_reset(const std::string& engine) { working_.insert(engine); }
+  void record_connection_reset(const std::string& engine) { possibly_active_.insert(engine); }
   /// The engine does not work on the attempt: it ended its answer, or it is gone.
-  void note_ended(const std::string& engine) { working_.erase(engine); }
+  void record_finished(const std::string& engine) { possibly_active_.erase(engine); }
 
   /// Engine that the attempt must go on at, since no further one may work on it; empty: any may.
   std::string required_engine() const {
-    const bool full = static_cast<int>(working_.size()) >= most_engines_;
-    return full ? *working_.begin() : std::string();
+    const bool full = static_cast<int>(possibly_active_.size()) >= max_engines_;
+    return full ? *possibly_active_.begin() : std::string();
   }
 
  private:
-  int most_engines_ = 1;
-  std::set<std::string> working_;
+  int max_engines_ = 1;
+  std::set<std::string> possibly_active_;
 };
 
 }  // namespace sailgate::serving
--- a/src/serving/dispatcher.cpp
+++ b/src/serving/dispatcher.cpp
@@ -11,12 +11,12 @@
 namespace http = net::http;
 
 /// Most engines one request is offered to.
-constexpr std::size_t kMostOffers = 4;
+constexpr std::size_t kMaxOffers = 4;
 /// An engine that refused for want of room is passed over this long.
 constexpr net::Millis kRefusalPause{80};
 /// An engine that failed is passed over this long for each failure in a row.
 constexpr net::Millis kFailurePause{300};
-constexpr int kMostCountedFailures = 8;
+constexpr int kMaxCountedFailures = 8;
 /// The engine's work must end before ours: it gets this much less time than is left.
 constexpr net::Millis kDeadlineMargin{20};
 /// Prompts of so many tokens are placed where any node would look for them, so that a program whose
@@ -24,12 +24,12 @@
 /// go where the node is connected and the load is low. All placed like the short ones: 0.897 to
 /// 0.859 worth where prompts hold 14,000 tokens and all nodes are killed (means of six runs), 0.674
 /// to 0.714 in bursts where they hold 1,200 (one run each).
-constexpr std::int64_t kLongPrompt = 4096;
+constexpr std::int64_t kLongPromptTokens = 4096;
 
-constexpr unsigned kServerErrors = 500;
+constexpr unsigned kFirstServerErrorStatus = 500;
 /// Answers of 500 in a row that do not make a node avoid the engine: tools answer one call in a
 /// hundred so, and the other nodes hear of each all the same.
-constexpr int kSparedFaults = 1;
+constexpr int kToleratedServerErrors = 1;
 /// An engine's answer when a request's time is over: it says nothing of the engine.
 constexpr unsigned kGatewayTimeout = 504;
 
@@ -49,7 +49,7 @@
 }
 
 /// A status by which an answer promises that the request did not run and never will.
-bool promises_not_run(unsigned status) {
+bool implies_not_run(unsigned status) {
   return status == 429 || status == 503 || status == 408 || status == 421;
 }
 
@@ -57,21 +57,21 @@
 /// failure does not promise what the engine did not say.
 bool is_acceptable(const EngineExchange& exchange) {
   const auto status = exchange.head().result_int();
-  return is_success(status) ? exchange.facts().sealed : !promises_not_run(status);
+  return is_success(status) ? exchange.facts().sealed : !implies_not_run(status);
 }
 
 }  // namespace
 
 bool is_success(unsigned status) { return status >= 200 && status < 300; }
 
-DispatchFailure failure_of(ReadOutcome outcome) {
+DispatchFailure to_dispatch_failure(ReadOutcome outcome) {
   if (outcome == ReadOutcome::kTimedOut) return DispatchFailure::kTimedOut;
   if (outcome == ReadOutcome::kAborted) return DispatchFailure::kCallerGone;
   return DispatchFailure::kOutcomeUnknown;
 }
 
-void log_answer_broken(NodeState& state, const Call& call, const EngineExchange& exchange,
-                       std::size_t bytes) {
+void log_broken_response(NodeState& state, const Call& call, const EngineExchange& exchange,
+                         std::size_t bytes) {
   state.log.event("answer_broken")
       .with("id", call.description.request_id)
       .with("engine", exchange.engine().record.id)
@@ -80,22 +80,22 @@
       .with("why", exchange.failure());
 }
 
-void note_broken_attempt(Call& call, const EngineExchange& exchange) {
+void record_broken_attempt(Call& call, const EngineExchange& exchange) {
   const auto& engine = exchange.engine().record.id;
   if (exchange.was_reset()) {
-    call.attempts.note_reset(engine);
+    call.attempts.record_connection_reset(engine);
   } else {
-    call.attempts.note_ended(engine);
+    call.attempts.record_finished(engine);
   }
 }
 
 namespace {
 
-/// @param spared failures in a row that do not yet make the node avoid the engine.
-void count_failure(NodeState& state, balancing::Engine& engine, const char* what, int spared) {
-  engine.consecutive_failures = std::min(engine.consecutive_failures + 1, kMostCountedFailures);
+/// @param tolerated failures in a row that do not yet make the node avoid the engine.
+void count_failure(NodeState& state, balancing::Engine& engine, const char* what, int tolerated) {
+  engine.consecutive_failures = std::min(engine.consecutive_failures + 1, kMaxCountedFailures);
   engine.failed_at = net::Clock::now();
-  engine.avoid_until = engine.failed_at + kFailurePause * (engine.consecutive_failures - spared);
+  engine.avoid_until = engine.failed_at + kFailurePause * (engine.consecutive_failures - tolerated);
   state.log.event("engine_failed")
       .with("engine", engine.record.id)
       .with("what", what)
@@ -104,23 +104,23 @@
 
 }  // namespace
 
-void note_failure(NodeState& state, balancing::Engine& engine, const char* what) {
+void record_engine_failure(NodeState& state, balancing::Engine& engine, const char* what) {
   count_failure(state, engine, what, 0);
 }
 
 bool is_engine_failure(unsigned status) {
-  return status >= kServerErrors && status != kGatewayTimeout;
+  return status >= kFirstServerErrorStatus && status != kGatewayTimeout;
 }
 
-void note_answer(NodeState& state, balancing::Engine& engine, unsigned status) {
+void record_engine_response(NodeState& state, balancing::Engine& engine, unsigned status) {
   if (is_engine_failure(status)) {
-    count_failure(state, engine, "status", kSparedFaults);
+    count_failure(state, engine, "status", kToleratedServerErrors);
   } else {
-    note_success(engine);
+    record_engine_success(engine);
   }
 }
 
-void note_success(balancing::Engine& engine) {
+void record_engine_success(balancing::Engine& engine) {
   engine.consecutive_failures = 0;
   engine.avoid_until = {};
   engine.answered_at = net::Clock::now();
@@ -150,20 +150,20 @@
   return usable ? std::move(engine) : nullptr;
 }
 
-void Dispatcher::note_attempt(Call& call, EngineExchange& exchange, OfferEnd end) {
+void Dispatcher::update_attempt_bound(Call& call, EngineExchange& exchange, OfferOutcome end) {
   const auto& id = exchange.engine().record.id;
-  const bool gone =
-      end == OfferEnd::kNotSent || (end == OfferEnd::kRefused && exchange.facts().misdirected);
-  if (gone) call.attempts.note_ended(id);
-  if (end != OfferEnd::kBroken) return;
-  note_broken_attempt(call, exchange);
+  const bool gone = end == OfferOutcome::kNotSent ||
+                    (end == OfferOutcome::kRefused && exchange.facts().misdirected);
+  if (gone) call.attempts.record_finished(id);
+  if (end != OfferOutcome::kBroken) return;
+  record_broken_attempt(call, exchange);
 }
 
 balancing::EnginePointer Dispatcher::select(Call& call) {
   auto required = call.attempts.required_engine();
   // A run that another one has followed works on nothing any more.
   while (!required.empty() && state_.engines.has_ended(required)) {
-    call.attempts.note_ended(required);
+    call.attempts.record_finished(required);
     required = call.attempts.required_engine();
   }
   if (!required.empty()) return required_engine(required);
@@ -173,9 +173,9 @@
   balancing::SelectionQuery query;
   query.service = call.service;
   const auto& description = call.description;
-  if (description.prompt_tokens >= kLongPrompt && state_.settings.mechanisms.affinity) {
+  if (description.prompt_tokens >= kLongPromptTokens && state_.settings.mechanisms.affinity) {
     query.affinity_key = call.key_of(description.program).text();
-    query.prompt = prompt_places(call);
+    query.prompt = prompt_replicas(call);
   }
   query.line_engine = call.line_engine;
   if (state_.settings.mechanisms.speeds) {
@@ -189,10 +189,10 @@
   return balancing::select_engine(state_.engines, query);
 }
 
-const balancing::PromptReplicas* Dispatcher::prompt_places(const Call& call) {
+const balancing::PromptReplicas* Dispatcher::prompt_replicas(const Call& call) {
   const auto& description = call.description;
   if (!state_.settings.mechanisms.prompts || description.shared_prefix.empty()) return nullptr;
-  if (description.prompt_tokens < kLongPrompt) return nullptr;
+  if (description.prompt_tokens < kLongPromptTokens) return nullptr;
   const auto prompt = balancing::prompt_key(call.service, description.shared_prefix);
   if (call.offered.empty()) {
     state_.prompt_demand.note(prompt, description.shared_prefix_tokens, net::Clock::now());
@@ -204,7 +204,7 @@
 
 void Dispatcher::log_offer(const Call& call, const EngineExchange& exchange, const char* outcome) {
   const auto& engine = exchange.engine();
-  const auto* replicas = prompt_places(call);
+  const auto* replicas = prompt_replicas(call);
   state_.log.event("offer")
       .with("id", call.description.request_id)
       .with("engine", engine.record.id)
@@ -215,12 +215,12 @@
       .with("line_engine", call.line_engine)
       .with("keeps_prompt",
             replicas == nullptr ? -1 : static_cast<int>(replicas->hold(engine.record.id)))
-      .with("kept_connection", static_cast<int>(exchange.on_kept_connection()))
+      .with("kept_connection", static_cast<int>(exchange.on_reused_connection()))
       .with("outcome", outcome)
       .with("elapsed_ms", call.elapsed().count());
 }
 
-void Dispatcher::note_refusal(EngineExchange& exchange) {
+void Dispatcher::record_refusal(EngineExchange& exchange) {
   auto& engine = exchange.engine();
   if (exchange.facts().misdirected) {
     engine.leaving = true;
@@ -230,20 +230,21 @@
   engine.avoid_until = net::Clock::now() + kRefusalPause;
 }
 
-std::optional<DispatchFailure> Dispatcher::reason_to_stop(const Call& call) {
+std::optional<DispatchFailure> Dispatcher::stop_reason(const Call& call) {
   if (call.channel.gone()) return DispatchFailure::kCallerGone;
   if (call.time_left() <= kDeadlineMargin) return DispatchFailure::kTimedOut;
   return std::nullopt;
 }
 
 net::asio::awaitable<void> Dispatcher::finish_refusal(EngineExchange& exchange) {
-  note_refusal(exchange);
+  record_refusal(exchange);
   std::string ignored;
   while (co_await exchange.read_some(ignored) == ReadOutcome::kData) ignored.clear();
   exchange.finish();
 }
 
-void Dispatcher::log_broken(const Call& call, EngineExchange& exchange, OpenOutcome outcome) {
+void Dispatcher::log_broken_exchange(const Call& call, EngineExchange& exchange,
+                                     OpenOutcome outcome) {
   const auto& engine = exchange.engine().record.id;
   if (outcome == OpenOutcome::kAnswered) {
     state_.log.event("answer_unacceptable")
@@ -256,7 +257,7 @@
   state_.log.event("exchange_broken")
       .with("id", call.description.request_id)
       .with("engine", engine)
-      .with("kept_connection", static_cast<int>(exchange.on_kept_connection()))
+      .with("kept_connection", static_cast<int>(exchange.on_reused_connection()))
       .with("why", exchange.failure());
 }
 
@@ -276,28 +277,28 @@
   if (answered && exchange.facts().not_run) {
     log_offer(call, exchange, "refused");
     co_await finish_refusal(exchange);
-    result.end = OfferEnd::kRefused;
+    result.end = OfferOutcome::kRefused;
   } else if (answered && is_acceptable(exchange)) {
     log_offer(call, exchange, "answered");
-    result.end = OfferEnd::kAnswered;
+    result.end = OfferOutcome::kAnswered;
   } else if (outcome == OpenOutcome::kNotSent) {
     log_offer(call, exchange, "not_sent");
-    note_failure(state_, *engine, "connect");
-    result.end = OfferEnd::kNotSent;
+    record_engine_failure(state_, *engine, "connect");
+    result.end = OfferOutcome::kNotSent;
   } else if (outcome == OpenOutcome::kAborted) {
-    result.end = OfferEnd::kAborted;
+    result.end = OfferOutcome::kAborted;
   } else if (outcome == OpenOutcome::kTimedOut) {
     log_offer(call, exchange, "timed_out");
-    result.end = OfferEnd::kTimedOut;
+    result.end = OfferOutcome::kTimedOut;
   } else {
-    log_broken(call, exchange, outcome);
+    log_broken_exchange(call, exchange, outcome);
     log_offer(call, exchange, "broken");
-    note_failure(state_, *engine, "broken");
-    result.end = OfferEnd::kBroken;
+    record_engine_failure(state_, *engine, "broken");
+    result.end = OfferOutcome::kBroken;
   }
-  note_attempt(call, exchange, result.end);
-  if (result.end != OfferEnd::kAnswered) call.exchange = nullptr;
-  const bool unseen = result.end == OfferEnd::kRefused || result.end == OfferEnd::kNotSent;
+  update_attempt_bound(call, exchange, result.end);
+  if (result.end != OfferOutcome::kAnswered) call.exchange = nullptr;
+  const bool unseen = result.end == OfferOutcome::kRefused || result.end == OfferOutcome::kNotSent;
   if (!unseen) call.may_have_run = true;
   co_return result;
 }
@@ -307,8 +308,8 @@
                                                           std::string last_event_id) {
   DispatchResult result;
   bool refused = false;
-  for (std::size_t offers = 0; offers < kMostOffers; ++offers) {
-    if (const auto reason = reason_to_stop(call)) {
+  for (std::size_t offers = 0; offers < kMaxOffers; ++offers) {
+    if (const auto reason = stop_reason(call)) {
       result.failure = *reason;
       co_return result;
     }
@@ -316,23 +317,23 @@
     if (engine == nullptr) break;
     auto offered = co_await offer(call, std::move(engine), body, last_event_id);
     switch (offered.end) {
-      case OfferEnd::kAnswered:
+      case OfferOutcome::kAnswered:
         result.exchange = std::move(offered.exchange);
         co_return result;
-      case OfferEnd::kAborted:
+      case OfferOutcome::kAborted:
         result.failure = DispatchFailure::kCallerGone;
         co_return result;
-      case OfferEnd::kTimedOut:
+      case OfferOutcome::kTimedOut:
         result.failure = DispatchFailure::kTimedOut;
         co_return result;
-      case OfferEnd::kRefused:
+      case OfferOutcome::kRefused:
         refused = true;
         if (call.attempts.required_engine().empty()) break;
         result.failure = DispatchFailure::kOutcomeUnknown;
         co_return result;
-      case OfferEnd::kNotSent:
+      case OfferOutcome::kNotSent:
         break;
-      case OfferEnd::kBroken:
+      case OfferOutcome::kBroken:
         if (repeatable) break;
         result.failure = DispatchFailure::kOutcomeUnknown;
         co_return result;
--- a/src/serving/dispatcher.hpp
+++ b/src/serving/dispatcher.hpp
@@ -37,46 +37,46 @@
 
  private:
   /// How the offer to one engine ended.
-  enum class OfferEnd { kAnswered, kRefused, kNotSent, kBroken, kTimedOut, kAborted };
+  enum class OfferOutcome { kAnswered, kRefused, kNotSent, kBroken, kTimedOut, kAborted };
   struct Offer {
-    OfferEnd end = OfferEnd::kBroken;
+    OfferOutcome end = OfferOutcome::kBroken;
     std::unique_ptr<EngineExchange> exchange;
   };
 
   net::asio::awaitable<Offer> offer(Call& call, balancing::EnginePointer engine,
                                     const std::string& body, std::string last_event_id);
   net::asio::awaitable<void> finish_refusal(EngineExchange& exchange);
-  static std::optional<DispatchFailure> reason_to_stop(const Call& call);
-  void log_broken(const Call& call, EngineExchange& exchange, OpenOutcome outcome);
+  static std::optional<DispatchFailure> stop_reason(const Call& call);
+  void log_broken_exchange(const Call& call, EngineExchange& exchange, OpenOutcome outcome);
   std::shared_ptr<const net::TextRequest> engine_request(const Call& call,
                                                          const balancing::Engine& engine,
                                                          const std::string& body,
                                                          const std::string& last_event_id) const;
   balancing::EnginePointer select(Call& call);
   /// Places of the long prompt's first part; nullptr: it shares none, or placing is switched off.
-  const balancing::PromptReplicas* prompt_places(const Call& call);
+  const balancing::PromptReplicas* prompt_replicas(const Call& call);
   /// The engine that the attempt is bound to, if it can still be asked; see AttemptBound.
   balancing::EnginePointer required_engine(const std::string& id);
   /// Keeps up which engines may still be working on the attempt.
-  static void note_attempt(Call& call, EngineExchange& exchange, OfferEnd end);
-  void note_refusal(EngineExchange& exchange);
+  static void update_attempt_bound(Call& call, EngineExchange& exchange, OfferOutcome end);
+  void record_refusal(EngineExchange& exchange);
   void log_offer(const Call& call, const EngineExchange& exchange, const char* outcome);
 
   NodeState& state_;
 };
 
 /// What it means for a call that its answer could not be read to the end.
-DispatchFailure failure_of(ReadOutcome outcome);
+DispatchFailure to_dispatch_failure(ReadOutcome outcome);
 
 /// An answer broke off after its head. @param bytes of its body that had come.
-void log_answer_broken(NodeState& state, const Call& call, const EngineExchange& exchange,
-                       std::size_t bytes);
+void log_broken_response(NodeState& state, const Call& call, const EngineExchange& exchange,
+                         std::size_t bytes);
 
 /// An answer broke off: tells by how it did whether its engine may still be working on the attempt.
-void note_broken_attempt(Call& call, const EngineExchange& exchange);
+void record_broken_attempt(Call& call, const EngineExchange& exchange);
 
 /// Marks a failure of an engine: others come first for a while.
-void note_failure(NodeState& state, balancing::Engine& engine, const char* what);
+void record_engine_failure(NodeState& state, balancing::Engine& engine, const char* what);
 
 /// Whether an engine's answer tells of a fault of the engine.
 bool is_engine_failure(unsigned status);
@@ -84,9 +84,9 @@
 bool is_success(unsigned status);
 
 /// Marks a whole answer of an engine, good or bad by its status.
-void note_answer(NodeState& state, balancing::Engine& engine, unsigned status);
+void record_engine_response(NodeState& state, balancing::Engine& engine, unsigned status);
 
 /// Marks a good answer of an engine.
-void note_success(balancing::Engine& engine);
+void record_engine_success(balancing::Engine& engine);
 
 }  // namespace sailgate::serving
--- a/src/serving/engine_exchange.cpp
+++ b/src/serving/engine_exchange.cpp
@@ -9,12 +9,12 @@
 namespace http = net::http;
 
 /// Memory that one answer may take in this process.
-constexpr std::uint64_t kAnswerBodyLimit = 32U << 20U;
-constexpr std::uint32_t kAnswerHeaderLimit = 64U << 10U;
+constexpr std::uint64_t kResponseBodyLimit = 32U << 20U;
+constexpr std::uint32_t kResponseHeaderLimit = 64U << 10U;
 /// Surplus answers that are skipped in front of the awaited one.
-constexpr int kMostForeignAnswers = 4;
+constexpr int kMaxForeignResponses = 4;
 /// An idle connection is used this long when the engine does not say how long it keeps it.
-constexpr net::Millis kDefaultIdle{1500};
+constexpr net::Millis kDefaultIdleTime{1500};
 /// Idle connections are given up this long before the engine would close them.
 constexpr net::Millis kIdleMargin{800};
 
@@ -24,7 +24,7 @@
   const std::string_view text(value.data(), value.size());
   constexpr std::string_view kTimeout = "timeout=";
   const auto start = text.find(kTimeout);
-  if (start == std::string_view::npos) return kDefaultIdle;
+  if (start == std::string_view::npos) return kDefaultIdleTime;
   int seconds = 0;
   std::from_chars(text.data() + start + kTimeout.size(), text.data() + text.size(), seconds);
   return std::max(
@@ -45,7 +45,7 @@
   if (connection_ != nullptr) connection_->stream.close();
 }
 
-ReadOutcome EngineExchange::outcome_of(const net::Error& error) {
+ReadOutcome EngineExchange::to_read_outcome(const net::Error& error) {
   failure_ = error.message();
   was_reset_ =
       error == net::asio::error::connection_reset || error == net::asio::error::broken_pipe;
@@ -69,13 +69,13 @@
 net::asio::awaitable<ReadOutcome> EngineExchange::read_head(bool head_request) {
   parser_.emplace();
   // NOTE: Boost 1.74 takes an absent limit for zero.
-  parser_->body_limit(kAnswerBodyLimit);
-  parser_->header_limit(kAnswerHeaderLimit);
+  parser_->body_limit(kResponseBodyLimit);
+  parser_->header_limit(kResponseHeaderLimit);
   parser_->skip(head_request);
   net::Error error;
   co_await http::async_read_header(connection_->stream, connection_->buffer, *parser_,
                                    net::awaiting(error));
-  if (error) co_return outcome_of(error);
+  if (error) co_return to_read_outcome(error);
   // NOTE: not eager. An eager parser goes on to the next chunk's header, which begins with the line
   // end of the chunk before, and gives out nothing until the answer's end.
   facts_ = protocol_.inspect(head());
@@ -101,7 +101,7 @@
   connection_->stream.expires_at(deadline_);
   const bool head_request = request->method() == http::verb::head;
   start_write(request);
-  for (int foreign = 0; foreign <= kMostForeignAnswers; ++foreign) {
+  for (int foreign = 0; foreign <= kMaxForeignResponses; ++foreign) {
     const auto outcome = co_await read_head(head_request);
     if (outcome == ReadOutcome::kAborted) co_return OpenOutcome::kAborted;
     if (outcome == ReadOutcome::kTimedOut) co_return OpenOutcome::kTimedOut;
@@ -127,18 +127,18 @@
       co_return ReadOutcome::kData;
     }
     if (parser_->is_done()) {
-      whole_ = true;
+      response_complete_ = true;
       co_return ReadOutcome::kEnd;
     }
     net::Error error;
     co_await http::async_read_some(connection_->stream, connection_->buffer, *parser_,
                                    net::awaiting(error));
-    if (error && received.empty()) co_return outcome_of(error);
+    if (error && received.empty()) co_return to_read_outcome(error);
   }
 }
 
 void EngineExchange::finish() {
-  if (!whole_ || aborted_ || connection_ == nullptr) return;
+  if (!response_complete_ || aborted_ || connection_ == nullptr) return;
   const bool clean =
       write_->done && !write_->error && parser_->keep_alive() && connection_->buffer.size() == 0;
   if (!clean) return;
--- a/src/serving/engine_exchange.hpp
+++ b/src/serving/engine_exchange.hpp
@@ -58,8 +58,8 @@
   /// What ended the last operation that failed, for the log.
   const std::string& failure() const { return failure_; }
   /// When it was begun, before a connection was there.
-  net::TimePoint began_at() const { return began_at_; }
-  bool on_kept_connection() const { return connection_ != nullptr && connection_->reused; }
+  net::TimePoint started_at() const { return began_at_; }
+  bool on_reused_connection() const { return connection_ != nullptr && connection_->reused; }
 
  private:
   using Parser = net::http::response_parser<net::http::string_body>;
@@ -71,7 +71,7 @@
   void start_write(const std::shared_ptr<const net::TextRequest>& request);
   net::asio::awaitable<ReadOutcome> read_head(bool head_request);
   net::asio::awaitable<ReadOutcome> skip_body();
-  ReadOutcome outcome_of(const net::Error& error);
+  ReadOutcome to_read_outcome(const net::Error& error);
 
   EngineConnectionPool& pool_;
   const EdgeProtocol& protocol_;
@@ -85,7 +85,7 @@
   std::string failure_;
   bool aborted_ = false;
   bool was_reset_ = false;
-  bool whole_ = false;
+  bool response_complete_ = false;
 };
 
 }  // namespace sailgate::serving
--- a/src/serving/event_scanner.cpp
+++ b/src/serving/event_scanner.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-std::string_view without_return(std::string_view line) {
+std::string_view strip_carriage_return(std::string_view line) {
   if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
   return line;
 }
@@ -23,7 +23,7 @@
   std::size_t start = 0;
   while (start < text.size()) {
     const auto end = text.find('\n', start);
-    const auto line = without_return(std::string_view(text).substr(start, end - start));
+    const auto line = strip_carriage_return(std::string_view(text).substr(start, end - start));
     const auto colon = line.find(':');
     const auto name = line.substr(0, colon);
     if (name == "id") event.id = field_value(line, colon);
@@ -46,7 +46,7 @@
   auto line_end = pending_.find('\n', scanned_);
   while (line_end != std::string::npos) {
     const auto line =
-        without_return(std::string_view(pending_).substr(scanned_, line_end - scanned_));
+        strip_carriage_return(std::string_view(pending_).substr(scanned_, line_end - scanned_));
     const bool blank = line.empty();
     scanned_ = line_end + 1;
     if (blank) {
--- a/src/serving/event_scanner.hpp
+++ b/src/serving/event_scanner.hpp
@@ -20,7 +20,7 @@
   /// @return the events that `bytes` completed.
   std::vector<StreamEvent> feed(std::string_view bytes);
   /// Whether the stream would end in the middle of an event.
-  bool has_partial() const { return !pending_.empty(); }
+  bool has_partial_event() const { return !pending_.empty(); }
 
  private:
   std::string pending_;
--- a/src/serving/plain_call.cpp
+++ b/src/serving/plain_call.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 /// Most times a repeatable request is sent again after its answer broke off.
-constexpr int kMostRepeats = 2;
+constexpr int kMaxRepeats = 2;
 
 }  // namespace
 
 net::asio::awaitable<CallEnd> PlainCall::run() {
   const bool repeatable = call_.route->repeatable();
   auto failure = DispatchFailure::kNone;
-  for (int repeats = 0; repeats <= kMostRepeats; ++repeats) {
+  for (int repeats = 0; repeats <= kMaxRepeats; ++repeats) {
     auto dispatch =
         co_await dispatcher_.dispatch(call_, call_.request.body(), repeatable, std::string());
     if (dispatch.failure != DispatchFailure::kNone) {
@@ -26,8 +26,8 @@
     while (outcome == ReadOutcome::kData) outcome = co_await exchange.read_some(body);
     call_.exchange = nullptr;
     if (outcome == ReadOutcome::kEnd) {
-      note_answer(state_, exchange.engine(), exchange.head().result_int());
-      note_time(exchange);
+      record_engine_response(state_, exchange.engine(), exchange.head().result_int());
+      record_timing(exchange);
       auto head = exchange.head();
       exchange.finish();
       const bool head_only = call_.request.method() == net::http::verb::head;
@@ -35,19 +35,20 @@
           co_await call_.channel.write_answer(std::move(head), std::move(body), head_only);
       co_return CallEnd{taken ? "answered" : "caller_gone", taken};
     }
-    failure = failure_of(outcome);
-    if (outcome == ReadOutcome::kBroken) note_broken_attempt(call_, exchange);
-    log_answer_broken(state_, call_, exchange, body.size());
-    if (outcome == ReadOutcome::kBroken) note_failure(state_, exchange.engine(), "answer broken");
+    failure = to_dispatch_failure(outcome);
+    if (outcome == ReadOutcome::kBroken) record_broken_attempt(call_, exchange);
+    log_broken_response(state_, call_, exchange, body.size());
+    if (outcome == ReadOutcome::kBroken)
+      record_engine_failure(state_, exchange.engine(), "answer broken");
     if (failure != DispatchFailure::kOutcomeUnknown || !repeatable) break;
   }
   co_return co_await answer_failure(call_, failure);
 }
 
-void PlainCall::note_time(EngineExchange& exchange) {
+void PlainCall::record_timing(EngineExchange& exchange) {
   if (!state_.settings.mechanisms.speeds || !is_success(exchange.head().result_int())) return;
   const auto now = net::Clock::now();
-  const double milliseconds = net::milliseconds_between(exchange.began_at(), now);
+  const double milliseconds = net::milliseconds_between(exchange.started_at(), now);
   state_.exchange_times.record_plain_call(exchange.engine(), call_.route->name, milliseconds, now);
 }
 
--- a/src/serving/plain_call.hpp
+++ b/src/serving/plain_call.hpp
@@ -15,7 +15,7 @@
 
  private:
   /// The answer is whole: its time tells of the engine's speed.
-  void note_time(EngineExchange& exchange);
+  void record_timing(EngineExchange& exchange);
 
   NodeState& state_;
   Call& call_;
--- a/src/serving/stream_call.cpp
+++ b/src/serving/stream_call.cpp
@@ -12,28 +12,28 @@
 using Kind = wire::ErrorKind;
 
 /// Most engines that a resumable stream goes on at after its first one.
-constexpr int kMostResumptions = 3;
+constexpr int kMaxResumptions = 3;
 constexpr unsigned kOk = 200;
 /// A finished turn is kept trying to become durable while its caller waits, until so long before
 /// the caller gives the stream up.
 constexpr net::Millis kRecordMargin{200};
 /// Reading and reserving leave the engine at least this much of the request's time.
-constexpr net::Millis kEngineTime{80};
+constexpr net::Millis kMinEngineTime{80};
 /// A turn waits this long for a store that answers slowly: some tries of a call.
-constexpr net::Millis kStoreHold{900};
+constexpr net::Millis kSlowStoreWait{900};
 /// Time to come back when only some of the store's rows cannot be reached.
-constexpr net::Millis kLongestReturn{1000};
+constexpr net::Millis kPartialOutageRetryAfter{1000};
 /// Callers that were refused while the store is away come back spread over this part of the time
 /// that it is expected to be away, in parts of a hundred.
-constexpr std::uint64_t kReturnSpread = 50;
+constexpr std::uint64_t kRetrySpreadPercent = 50;
 /// Callers sent to other nodes arrive there spread over this time: a part of what they would wait
 /// there if they all came at once.
-constexpr net::Millis kElsewhereSpread{150};
+constexpr net::Millis kFailoverSpread{150};
 /// Callers give a stream up after a pause without an event, the longest of: this time, so many
 /// objectives of the route, so many of its longest pauses that are in time.
-constexpr net::Millis kLeastEventPatience{2000};
-constexpr int kObjectivesWaited = 4;
-constexpr int kGapsWaited = 8;
+constexpr net::Millis kMinEventPatience{2000};
+constexpr int kEventPatienceObjectives = 4;
+constexpr int kEventPatienceGaps = 8;
 /// A held turn looks so often for the store, its caller and a stop: a small part of an objective.
 constexpr net::Millis kHoldPoll{10};
 
@@ -48,21 +48,21 @@
     end_turn(nullptr, "");
     throw;
   }
-  const bool left = !begun_ && call_.channel.gone();
+  const bool left = !response_started_ && call_.channel.gone();
   if (left) state_.caller_patience.note(call_.elapsed(), true, net::Clock::now());
   co_return end;
 }
 
 net::asio::awaitable<CallEnd> StreamCall::prepare_and_serve() {
   if (const auto refused = co_await prepare()) co_return *refused;
-  if (const auto refused = co_await hold_to_load()) {
+  if (const auto refused = co_await apply_load_limit()) {
     end_turn(nullptr, "");
     co_return *refused;
   }
   auto end = co_await serve();
   end_turn(nullptr, "");
   if (first_turn_ && std::string_view(end.outcome) == "answered") {
-    state_.admission.record_first_turn(call_.service, call_.elapsed() - held_for_);
+    state_.admission.record_first_turn(call_.service, call_.elapsed() - store_wait_);
   }
   co_return end;
 }
@@ -82,14 +82,14 @@
   return request;
 }
 
-net::asio::awaitable<CallEnd> StreamCall::refuse_for_now(const char* why) {
+net::asio::awaitable<CallEnd> StreamCall::refuse_for_store(const char* why) {
   const auto outage = state_.store.expected_outage();
-  const auto draw = state_.random.below(kReturnSpread);
-  auto expected = outage.count() > 0 ? outage : kLongestReturn;
+  const auto draw = state_.random.below(kRetrySpreadPercent);
+  auto expected = outage.count() > 0 ? outage : kPartialOutageRetryAfter;
   if (state_.readiness.store_lost()) {
     // Another node can serve it, however long this one stays cut off.
-    const auto part = kElsewhereSpread * static_cast<std::int64_t>(draw) /
-                      static_cast<std::int64_t>(kReturnSpread);
+    const auto part = kFailoverSpread * static_cast<std::int64_t>(draw) /
+                      static_cast<std::int64_t>(kRetrySpreadPercent);
     expected = state_.readiness.time_to_failover(net::Clock::now()) + part;
   }
   const bool for_all = outage.count() > 0 || state_.store.full();
@@ -100,18 +100,18 @@
       .with("expected_outage_ms", outage.count())
       .with("steps_aside", static_cast<int>(state_.readiness.steps_aside()))
       .with("retry_after_ms", wait.count())
-      .with("waited_ms", held_for_.count())
+      .with("waited_ms", store_wait_.count())
       .with("held_ms", call_.elapsed().count());
   co_return co_await refuse(call_, Kind::kStoreUnavailable, wait);
 }
 
 net::Millis StreamCall::event_patience() const {
   const auto& route = *call_.route;
-  return std::max(
-      {kLeastEventPatience, route.objective * kObjectivesWaited, route.event_gap * kGapsWaited});
+  return std::max({kMinEventPatience, route.objective * kEventPatienceObjectives,
+                   route.event_gap * kEventPatienceGaps});
 }
 
-TurnInOutage StreamCall::in_outage() const {
+TurnInOutage StreamCall::outage_state() const {
   TurnInOutage turn;
   turn.expected_rest = state_.store.expected_outage();
   turn.run_time = state_.turn_times.most();
@@ -125,15 +125,15 @@
   return turn;
 }
 
-net::asio::awaitable<std::optional<CallEnd>> StreamCall::outlast_outage() {
+net::asio::awaitable<std::optional<CallEnd>> StreamCall::handle_store_outage() {
   // Waiting here helps nobody whom another node can serve now.
-  if (state_.readiness.store_lost()) co_return co_await refuse_for_now("steps_aside");
-  if (state_.store.full()) co_return co_await refuse_for_now("store_full");
+  if (state_.readiness.store_lost()) co_return co_await refuse_for_store("steps_aside");
+  if (state_.store.full()) co_return co_await refuse_for_store("store_full");
   if (state_.store.answers()) co_return std::nullopt;
-  if (!state_.settings.mechanisms.holding) co_return co_await refuse_for_now("store_away");
-  const auto turn = in_outage();
+  if (!state_.settings.mechanisms.holding) co_return co_await refuse_for_store("store_away");
+  const auto turn = outage_state();
   const auto decision = decide_in_outage(turn);
-  if (decision.step == OutageStep::kRefuse) co_return co_await refuse_for_now(decision.why);
+  if (decision.step == OutageStep::kRefuse) co_return co_await refuse_for_store(decision.why);
   state_.log.event(decision.step == OutageStep::kHold ? "turn_held" : "turn_begun_in_outage")
       .with("id", call_.description.request_id)
       .with("why", decision.why)
@@ -167,28 +167,28 @@
     }
   }
   state_.held_turns.remove(ticket);
-  held_for_ = std::chrono::duration_cast<net::Millis>(net::Clock::now() - began);
+  store_wait_ = std::chrono::duration_cast<net::Millis>(net::Clock::now() - began);
   const bool gone = call_.channel.gone();
   if (!gone) state_.caller_patience.note(call_.elapsed(), false, net::Clock::now());
-  state_.metrics.held_turn_ended(how, held_for_);
+  state_.metrics.held_turn_ended(how, store_wait_);
   state_.log.event("held_turn_ended")
       .with("id", call_.description.request_id)
       .with("how", how)
-      .with("waited_ms", held_for_.count())
+      .with("waited_ms", store_wait_.count())
       .with("held", state_.held_turns.count());
   if (gone) co_return CallEnd{"caller_gone", false};
   if (std::string_view(how) == "begun") co_return std::nullopt;
-  co_return co_await refuse_for_now(how);
+  co_return co_await refuse_for_store(how);
 }
 
 net::asio::awaitable<std::optional<CallEnd>> StreamCall::prepare() {
   const auto request = turn_request();
   // A turn that could not become durable at its end would be run for nothing, at the budget's cost.
   if (call_.route->retained) {
-    if (auto ended = co_await outlast_outage()) co_return ended;
+    if (auto ended = co_await handle_store_outage()) co_return ended;
   }
   const auto deadline =
-      std::min(call_.deadline - kEngineTime, call_.received_at + held_for_ + kStoreHold);
+      std::min(call_.deadline - kMinEngineTime, call_.received_at + store_wait_ + kSlowStoreWait);
   start_ = co_await state_.turns.begin(request, deadline);
   call_.home = start_.reservation_node;
   call_.line_engine = start_.engine;
@@ -196,28 +196,28 @@
     co_return co_await refuse(call_, Kind::kUnknownTurn);
   }
   if (start_.lookup == ledger::LookupOutcome::kUnavailable) {
-    co_return co_await refuse_for_now("turn_not_read");
+    co_return co_await refuse_for_store("turn_not_read");
   }
   if (start_.reservation == ledger::ReserveOutcome::kExhausted) {
     co_return co_await refuse(call_, Kind::kBudgetExceeded);
   }
   if (start_.reservation == ledger::ReserveOutcome::kUnavailable) {
-    co_return co_await refuse_for_now("tokens_not_reserved");
+    co_return co_await refuse_for_store("tokens_not_reserved");
   }
-  reserved_ = start_.reserved;
-  reserved_whole_ = start_.reserved == request.tokens;
+  reserved_tokens_ = start_.reserved;
+  fully_reserved_ = start_.reserved == request.tokens;
   prompt_ = call_.route->retained ? ledger::assemble_prompt(start_.previous, call_.request.body())
                                   : call_.request.body();
   co_return std::nullopt;
 }
 
-net::asio::awaitable<std::optional<CallEnd>> StreamCall::hold_to_load() {
+net::asio::awaitable<std::optional<CallEnd>> StreamCall::apply_load_limit() {
   const auto& description = call_.description;
   if (description.program.empty() || !description.previous_turn.empty()) co_return std::nullopt;
   if (!description.last_event_id.empty()) co_return std::nullopt;
   // A line of turns whose engine the program's home knows has begun, whichever node it reaches.
   // Where no home was asked nobody can tell, so that nothing is refused.
-  const bool begins = call_.route->retained || (reserved_ > 0 && call_.line_engine.empty());
+  const bool begins = call_.route->retained || (reserved_tokens_ > 0 && call_.line_engine.empty());
   if (const auto wait = hold_program(state_, call_, begins)) {
     co_return co_await refuse(call_, Kind::kOverloaded, *wait);
   }
@@ -231,20 +231,20 @@
 }
 
 bool StreamCall::exceeds_reservation(std::size_t more_events) const {
-  if (reserved_whole_) return false;
+  if (fully_reserved_) return false;
   const auto events = events_ + static_cast<std::int64_t>(more_events);
-  return events * tokens_per_event() > reserved_;
+  return events * tokens_per_event() > reserved_tokens_;
 }
 
 void StreamCall::end_turn(const ledger::TurnPointer& turn, const std::string& engine) {
-  if (ended_) return;
-  ended_ = true;
+  if (turn_ended_) return;
+  turn_ended_ = true;
   call_.tokens_out = events_ * tokens_per_event();
   cluster::TurnEnd end;
   end.program = call_.key_of(call_.description.program);
   end.line = call_.description.line;
-  end.reserved = reserved_;
-  end.used = std::min(call_.tokens_out, reserved_);
+  end.reserved = reserved_tokens_;
+  end.used = std::min(call_.tokens_out, reserved_tokens_);
   end.turn = turn;
   end.engine = engine;
   state_.turns.end(end, start_);
@@ -252,23 +252,24 @@
 
 net::asio::awaitable<CallEnd> StreamCall::serve() {
   const bool resumable = call_.route->resumable && state_.settings.mechanisms.resuming;
-  for (int resumptions = 0; resumptions <= kMostResumptions; ++resumptions) {
+  for (int resumptions = 0; resumptions <= kMaxResumptions; ++resumptions) {
     auto dispatch = co_await dispatcher_.dispatch(call_, prompt_, resumable, last_event_id_);
     if (dispatch.failure != DispatchFailure::kNone) co_return co_await fail(dispatch.failure);
     auto& exchange = *dispatch.exchange;
-    if (exchange.head().result_int() != kOk) co_return co_await pass_on_whole(exchange);
+    if (exchange.head().result_int() != kOk) co_return co_await forward_complete_response(exchange);
     const auto end = co_await relay(exchange);
     call_.exchange = nullptr;
-    if (end == RelayEnd::kWhole) {
-      note_success(exchange.engine());
-      if (!begun_ && !co_await pass_on({}, exchange)) co_return CallEnd{"caller_gone", false};
+    if (end == RelayOutcome::kComplete) {
+      record_engine_success(exchange.engine());
+      if (!response_started_ && !co_await forward_events({}, exchange))
+        co_return CallEnd{"caller_gone", false};
       exchange.finish();
       co_return co_await complete();
     }
-    if (end == RelayEnd::kCallerGone) co_return CallEnd{"caller_gone", false};
-    if (end == RelayEnd::kTokensSpent) co_return co_await cut_short();
-    if (end == RelayEnd::kTimedOut) co_return co_await fail(DispatchFailure::kTimedOut);
-    note_broken_attempt(call_, exchange);
+    if (end == RelayOutcome::kCallerGone) co_return CallEnd{"caller_gone", false};
+    if (end == RelayOutcome::kReservationSpent) co_return co_await stop_at_reservation();
+    if (end == RelayOutcome::kTimedOut) co_return co_await fail(DispatchFailure::kTimedOut);
+    record_broken_attempt(call_, exchange);
     state_.log.event("stream_broken")
         .with("id", call_.description.request_id)
         .with("engine", exchange.engine().record.id)
@@ -281,70 +282,70 @@
   co_return co_await fail(DispatchFailure::kOutcomeUnknown);
 }
 
-net::asio::awaitable<CallEnd> StreamCall::cut_short() {
+net::asio::awaitable<CallEnd> StreamCall::stop_at_reservation() {
   state_.log.event("reservation_spent")
       .with("id", call_.description.request_id)
       .with("program", call_.description.program)
-      .with("reserved", reserved_)
+      .with("reserved", reserved_tokens_)
       .with("events", events_);
   co_return co_await fail(DispatchFailure::kOutcomeUnknown);
 }
 
-net::asio::awaitable<CallEnd> StreamCall::pass_on_whole(EngineExchange& exchange) {
+net::asio::awaitable<CallEnd> StreamCall::forward_complete_response(EngineExchange& exchange) {
   std::string body;
   auto outcome = ReadOutcome::kData;
   while (outcome == ReadOutcome::kData) outcome = co_await exchange.read_some(body);
   call_.exchange = nullptr;
-  if (outcome != ReadOutcome::kEnd || begun_) {
-    log_answer_broken(state_, call_, exchange, body.size());
-    co_return co_await fail(failure_of(outcome));
+  if (outcome != ReadOutcome::kEnd || response_started_) {
+    log_broken_response(state_, call_, exchange, body.size());
+    co_return co_await fail(to_dispatch_failure(outcome));
   }
   auto head = exchange.head();
-  note_answer(state_, exchange.engine(), head.result_int());
+  record_engine_response(state_, exchange.engine(), head.result_int());
   exchange.finish();
   const bool taken = co_await call_.channel.write_answer(std::move(head), std::move(body), false);
   co_return CallEnd{taken ? "engine_status" : "caller_gone", taken};
 }
 
-net::asio::awaitable<StreamCall::RelayEnd> StreamCall::relay(EngineExchange& exchange) {
+net::asio::awaitable<StreamCall::RelayOutcome> StreamCall::relay(EngineExchange& exchange) {
   EventScanner scanner;
   const bool prompt_cached = call_.line_engine == exchange.engine().record.id;
-  StreamTiming timing(exchange.began_at(), prompt_cached);
+  StreamTiming timing(exchange.started_at(), prompt_cached);
   const bool resumed = !last_event_id_.empty();
   std::string bytes;
   while (true) {
     bytes.clear();
     const auto outcome = co_await exchange.read_some(bytes);
     if (outcome == ReadOutcome::kEnd) {
-      if (!resumed && !scanner.has_partial()) note_times(exchange, timing);
-      co_return scanner.has_partial() ? RelayEnd::kBroken : RelayEnd::kWhole;
+      if (!resumed && !scanner.has_partial_event()) record_timings(exchange, timing);
+      co_return scanner.has_partial_event() ? RelayOutcome::kBroken : RelayOutcome::kComplete;
     }
-    if (outcome == ReadOutcome::kTimedOut) co_return RelayEnd::kTimedOut;
-    if (outcome == ReadOutcome::kAborted) co_return RelayEnd::kCallerGone;
-    if (outcome == ReadOutcome::kBroken) co_return RelayEnd::kBroken;
+    if (outcome == ReadOutcome::kTimedOut) co_return RelayOutcome::kTimedOut;
+    if (outcome == ReadOutcome::kAborted) co_return RelayOutcome::kCallerGone;
+    if (outcome == ReadOutcome::kBroken) co_return RelayOutcome::kBroken;
     auto events = scanner.feed(bytes);
     if (events.empty()) continue;
-    if (exceeds_reservation(events.size())) co_return RelayEnd::kTokensSpent;
-    timing.came(events.size(), net::Clock::now());
-    if (!co_await pass_on(std::move(events), exchange)) co_return RelayEnd::kCallerGone;
-    timing.taken(net::Clock::now());
+    if (exceeds_reservation(events.size())) co_return RelayOutcome::kReservationSpent;
+    timing.record_events(events.size(), net::Clock::now());
+    if (!co_await forward_events(std::move(events), exchange)) co_return RelayOutcome::kCallerGone;
+    timing.record_delivery(net::Clock::now());
   }
 }
 
-void StreamCall::note_times(EngineExchange& exchange, const StreamTiming& timing) {
+void StreamCall::record_timings(EngineExchange& exchange, const StreamTiming& timing) {
   if (!state_.settings.mechanisms.speeds) return;
   const auto now = net::Clock::now();
   const auto times = timing.times(now);
   if (times) state_.exchange_times.record_stream(exchange.engine(), *times, now);
 }
 
-net::asio::awaitable<bool> StreamCall::pass_on(std::vector<StreamEvent> events,
-                                               EngineExchange& exchange) {
-  if (!begun_) {
-    begun_ = true;
+net::asio::awaitable<bool> StreamCall::forward_events(std::vector<StreamEvent> events,
+                                                      EngineExchange& exchange) {
+  if (!response_started_) {
+    response_started_ = true;
     state_.metrics.first_event(call_.elapsed());
     state_.caller_patience.note(call_.elapsed(), false, net::Clock::now());
-    state_.first_event_times.observe(call_.elapsed() - held_for_);
+    state_.first_event_times.observe(call_.elapsed() - store_wait_);
     auto head = exchange.head();
     if (!co_await call_.channel.begin_chunked(std::move(head))) co_return false;
   }
@@ -361,14 +362,14 @@
 }
 
 net::asio::awaitable<CallEnd> StreamCall::complete() {
-  state_.turn_times.observe(call_.elapsed() - held_for_);
+  state_.turn_times.observe(call_.elapsed() - store_wait_);
   ledger::TurnPointer turn;
   if (call_.route->retained) {
     const auto key = call_.key_of(call_.description.request_id);
     turn = std::make_shared<const ledger::Turn>(
         ledger::Turn{key.text(), call_.request.body(), output_, start_.previous});
     const bool holding = state_.settings.mechanisms.holding;
-    const auto patience = holding ? event_patience() : kLeastEventPatience;
+    const auto patience = holding ? event_patience() : kMinEventPatience;
     const auto deadline = std::min(call_.deadline, net::Clock::now() + patience - kRecordMargin);
     if (!co_await state_.ledger.turns.record(turn, call_.route->retention, deadline)) {
       co_return CallEnd{"turn_not_durable", false};
@@ -380,7 +381,7 @@
 }
 
 net::asio::awaitable<CallEnd> StreamCall::fail(DispatchFailure failure) {
-  if (!begun_) co_return co_await answer_failure(call_, failure);
+  if (!response_started_) co_return co_await answer_failure(call_, failure);
   // The answer has begun: it ends without its last chunk, so that it cannot look complete.
   co_return CallEnd{failure == DispatchFailure::kTimedOut ? "stream_timed_out" : "stream_cut",
                     false};
--- a/src/serving/stream_call.hpp
+++ b/src/serving/stream_call.hpp
@@ -25,17 +25,17 @@
 
  private:
   /// How the relay of one engine's stream ended.
-  enum class RelayEnd { kWhole, kBroken, kTimedOut, kCallerGone, kTokensSpent };
+  enum class RelayOutcome { kComplete, kBroken, kTimedOut, kCallerGone, kReservationSpent };
 
   net::asio::awaitable<CallEnd> prepare_and_serve();
   net::asio::awaitable<std::optional<CallEnd>> prepare();
   cluster::TurnRequest turn_request() const;
-  net::asio::awaitable<CallEnd> refuse_for_now(const char* why);
+  net::asio::awaitable<CallEnd> refuse_for_store(const char* why);
   /// What is known of this turn and of the store, while the store is away.
-  TurnInOutage in_outage() const;
+  TurnInOutage outage_state() const;
   /// While the store is away: lets the turn begin, has it wait, or refuses it. @return nullopt: it
   /// may begin.
-  net::asio::awaitable<std::optional<CallEnd>> outlast_outage();
+  net::asio::awaitable<std::optional<CallEnd>> handle_store_outage();
   /// Waits until the store is back and it is this turn's time, at most so long. @return nullopt: it
   /// may begin.
   net::asio::awaitable<std::optional<CallEnd>> wait_for_store(net::Millis longest);
@@ -43,16 +43,17 @@
   net::Millis event_patience() const;
   /// Refuses the first turn of a program while its engines are overloaded. @return nullopt: it may
   /// go on.
-  net::asio::awaitable<std::optional<CallEnd>> hold_to_load();
+  net::asio::awaitable<std::optional<CallEnd>> apply_load_limit();
   net::asio::awaitable<CallEnd> serve();
-  net::asio::awaitable<CallEnd> pass_on_whole(EngineExchange& exchange);
-  net::asio::awaitable<RelayEnd> relay(EngineExchange& exchange);
+  net::asio::awaitable<CallEnd> forward_complete_response(EngineExchange& exchange);
+  net::asio::awaitable<RelayOutcome> relay(EngineExchange& exchange);
   /// The engine ran the stream whole: its times tell of the engine's speed.
-  void note_times(EngineExchange& exchange, const StreamTiming& timing);
-  net::asio::awaitable<bool> pass_on(std::vector<StreamEvent> events, EngineExchange& exchange);
+  void record_timings(EngineExchange& exchange, const StreamTiming& timing);
+  net::asio::awaitable<bool> forward_events(std::vector<StreamEvent> events,
+                                            EngineExchange& exchange);
   net::asio::awaitable<CallEnd> complete();
   /// The turn has generated what was reserved for it and is not over: it ends unfinished.
-  net::asio::awaitable<CallEnd> cut_short();
+  net::asio::awaitable<CallEnd> stop_at_reservation();
   net::asio::awaitable<CallEnd> fail(DispatchFailure failure);
   std::int64_t tokens_per_event() const;
   /// Whether so many more events would exceed what was reserved, where that was less than the
@@ -69,13 +70,13 @@
   std::string prompt_;
   std::string output_;  ///< data of the events so far, each followed by a line feed
   std::string last_event_id_;
-  std::int64_t reserved_ = 0;   ///< tokens
-  bool reserved_whole_ = true;  ///< as many as the turn can generate
-  bool ended_ = false;          ///< the turn's keeper was told
+  std::int64_t reserved_tokens_ = 0;  ///< tokens
+  bool fully_reserved_ = true;        ///< as many as the turn can generate
+  bool turn_ended_ = false;           ///< the turn's keeper was told
   std::int64_t events_ = 0;
-  bool begun_ = false;
-  bool first_turn_ = false;  ///< it began a program
-  net::Millis held_for_{0};  ///< waited for the store
+  bool response_started_ = false;
+  bool first_turn_ = false;    ///< it began a program
+  net::Millis store_wait_{0};  ///< waited for the store
 };
 
 }  // namespace sailgate::serving
--- a/src/serving/stream_timing.cpp
+++ b/src/serving/stream_timing.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 /// One gap may be all network: events come in packets.
-constexpr std::size_t kLeastGaps = 2;
+constexpr std::size_t kMinGaps = 2;
 /// Where the caller held the reading up for more than a tenth of the time, the time between events
 /// is the caller's.
-constexpr int kMostHeldShare = 10;
+constexpr int kMaxBlockedShare = 10;
 
 }  // namespace
 
-void StreamTiming::came(std::size_t events, net::TimePoint now) {
+void StreamTiming::record_events(std::size_t events, net::TimePoint now) {
   if (first_ == net::TimePoint{}) {
     first_ = now;
   } else {
@@ -26,11 +26,11 @@
 std::optional<balancing::StreamTimes> StreamTiming::times(net::TimePoint ended) const {
   if (first_ == net::TimePoint{}) return std::nullopt;
   balancing::StreamTimes times;
-  times.first_event_ms = net::milliseconds_between(began_, first_);
-  times.total_ms = net::milliseconds_between(began_, ended);
-  times.prompt_cached = prompt_kept_;
+  times.first_event_ms = net::milliseconds_between(started_, first_);
+  times.total_ms = net::milliseconds_between(started_, ended);
+  times.prompt_cached = prompt_cached_;
   const auto span = last_ - first_;
-  if (gaps_ >= kLeastGaps && held_ * kMostHeldShare <= span) {
+  if (gaps_ >= kMinGaps && blocked_ * kMaxBlockedShare <= span) {
     times.mean_event_gap_ms = net::milliseconds_between(first_, last_) / static_cast<double>(gaps_);
   }
   return times;
--- a/tests/serving/attempt_bound_test.cpp
+++ b/tests/serving/attempt_bound_test.cpp
@@ -14,21 +14,21 @@
 
 TEST_CASE("an attempt is bound to the engines that may still be working on it", "[serving]") {
   AttemptBound bound;
-  bound.set_most_engines(2);
+  bound.set_max_engines(2);
   REQUIRE(bound.required_engine().empty());
-  bound.note_reset("a");
+  bound.record_connection_reset("a");
   REQUIRE(bound.required_engine().empty());
-  bound.note_reset("b");
+  bound.record_connection_reset("b");
   REQUIRE(bound.required_engine() == "a");
-  bound.note_ended("a");
+  bound.record_finished("a");
   REQUIRE(bound.required_engine().empty());
 }
 
 TEST_CASE("at least one engine may work on an attempt", "[serving]") {
   AttemptBound bound;
-  bound.set_most_engines(0);
+  bound.set_max_engines(0);
   REQUIRE(bound.required_engine().empty());
-  bound.note_reset("a");
+  bound.record_connection_reset("a");
   REQUIRE(bound.required_engine() == "a");
 }
 
--- a/tests/serving/event_scanner_test.cpp
+++ b/tests/serving/event_scanner_test.cpp
@@ -26,7 +26,7 @@
     RC_ASSERT(events[1].data == "two\nmore");
     RC_ASSERT(events[2].id == "3");
     RC_ASSERT(events[2].data == "three");
-    RC_ASSERT(!scanner.has_partial());
+    RC_ASSERT(!scanner.has_partial_event());
   });
   REQUIRE(held);
 }
@@ -34,9 +34,9 @@
 TEST_CASE("an unfinished event is partial", "[serving]") {
   EventScanner scanner;
   REQUIRE(scanner.feed("id: 1\ndata: on").empty());
-  REQUIRE(scanner.has_partial());
+  REQUIRE(scanner.has_partial_event());
   REQUIRE(scanner.feed("e\n").empty());
-  REQUIRE(scanner.has_partial());
+  REQUIRE(scanner.has_partial_event());
   REQUIRE(scanner.feed("\n").size() == 1);
-  REQUIRE_FALSE(scanner.has_partial());
+  REQUIRE_FALSE(scanner.has_partial_event());
 }
--- a/tests/serving/stream_timing_test.cpp
+++ b/tests/serving/stream_timing_test.cpp
@@ -15,9 +15,9 @@
 TEST_CASE("times of a stream are those of its events", "[serving]") {
   StreamTiming timing(kStart, true);
   REQUIRE_FALSE(timing.times(kStart + Millis(5)));
-  timing.came(1, kStart + Millis(20));
-  timing.came(2, kStart + Millis(100));
-  timing.came(1, kStart + Millis(140));
+  timing.record_events(1, kStart + Millis(20));
+  timing.record_events(2, kStart + Millis(100));
+  timing.record_events(1, kStart + Millis(140));
   const auto times = timing.times(kStart + Millis(150));
   REQUIRE(times);
   REQUIRE(times->first_event_ms == Approx(20));
@@ -26,19 +26,19 @@
   REQUIRE(times->prompt_cached);
 }
 
-TEST_CASE("events that came together tell no time between them", "[serving]") {
+TEST_CASE("events that record_events together tell no time between them", "[serving]") {
   StreamTiming timing(kStart, false);
-  timing.came(4, kStart + Millis(20));
+  timing.record_events(4, kStart + Millis(20));
   REQUIRE(timing.times(kStart + Millis(20))->mean_event_gap_ms == 0);
-  timing.came(1, kStart + Millis(60));
+  timing.record_events(1, kStart + Millis(60));
   REQUIRE(timing.times(kStart + Millis(60))->mean_event_gap_ms == 0);
 }
 
 TEST_CASE("a caller that is slow to read does not make its engine slow", "[serving]") {
   StreamTiming timing(kStart, false);
-  timing.came(1, kStart + Millis(20));
-  timing.taken(kStart + Millis(220));
-  timing.came(2, kStart + Millis(221));
-  timing.came(2, kStart + Millis(300));
+  timing.record_events(1, kStart + Millis(20));
+  timing.record_delivery(kStart + Millis(220));
+  timing.record_events(2, kStart + Millis(221));
+  timing.record_events(2, kStart + Millis(300));
   REQUIRE(timing.times(kStart + Millis(300))->mean_event_gap_ms == 0);
 }
