--- a/src/serving/dispatcher.cpp
+++ b/src/serving/dispatcher.cpp
@@ -300,8 +300,9 @@
   }
   update_attempt_bound(call, exchange, result.end);
   if (result.end != OfferOutcome::kAnswered) call.exchange = nullptr;
-  const bool unseen = result.end == OfferOutcome::kRefused || result.end == OfferOutcome::kNotSent;
-  if (!unseen) call.may_have_run = true;
+  const bool known_not_run =
+      result.end == OfferOutcome::kRefused || result.end == OfferOutcome::kNotSent;
+  if (!known_not_run) call.may_have_run = true;
   co_return result;
 }
 
--- a/src/serving/plain_call.cpp
+++ b/src/serving/plain_call.cpp
@@ -31,9 +31,9 @@
       auto head = exchange.head();
       exchange.finish();
       const bool head_only = call_.request.method() == net::http::verb::head;
-      const bool taken =
+      const bool delivered =
           co_await call_.channel.write_answer(std::move(head), std::move(body), head_only);
-      co_return CallEnd{taken ? "answered" : "caller_gone", taken};
+      co_return CallEnd{delivered ? "answered" : "caller_gone", delivered};
     }
     failure = to_dispatch_failure(outcome);
     if (outcome == ReadOutcome::kBroken) record_broken_attempt(call_, exchange);
--- a/src/serving/stream_call.cpp
+++ b/src/serving/stream_call.cpp
@@ -50,8 +50,8 @@
     end_turn(nullptr, "");
     throw;
   }
-  const bool left = !response_started_ && call_.channel.gone();
-  if (left) state_.caller_patience.note(call_.elapsed(), true, net::Clock::now());
+  const bool abandoned = !response_started_ && call_.channel.gone();
+  if (abandoned) state_.caller_patience.note(call_.elapsed(), true, net::Clock::now());
   co_return end;
 }
 
@@ -91,12 +91,12 @@
   if (state_.readiness.store_lost()) {
     // Only this node has lost the store: the retry delay covers failover to another node, not the
     // outage.
-    const auto part = kFailoverSpread * static_cast<std::int64_t>(draw) /
-                      static_cast<std::int64_t>(kRetrySpreadPercent);
-    expected = state_.readiness.time_to_failover(net::Clock::now()) + part;
+    const auto spread = kFailoverSpread * static_cast<std::int64_t>(draw) /
+                        static_cast<std::int64_t>(kRetrySpreadPercent);
+    expected = state_.readiness.time_to_failover(net::Clock::now()) + spread;
   }
-  const bool for_all = outage.count() > 0 || state_.store.full();
-  const auto wait = return_time(expected, call_.time_left(), for_all ? draw : 0);
+  const bool all_callers_affected = outage.count() > 0 || state_.store.full();
+  const auto wait = return_time(expected, call_.time_left(), all_callers_affected ? draw : 0);
   state_.log.event("refused_for_store")
       .with("id", call_.description.request_id)
       .with("why", why)
@@ -120,8 +120,8 @@
   turn.run_time = state_.turn_times.most();
   turn.first_event = state_.first_event_times.most();
   turn.time_left = call_.time_left();
-  const auto stays = state_.caller_patience.bound(net::Clock::now());
-  turn.wait_left = std::min(event_patience(), stays) - call_.elapsed();
+  const auto observed_patience = state_.caller_patience.bound(net::Clock::now());
+  turn.wait_left = std::min(event_patience(), observed_patience) - call_.elapsed();
   turn.held = state_.held_turns.count();
   turn.held_bytes = state_.held_turns.bytes();
   turn.bytes = call_.request.body().size();
@@ -221,11 +221,12 @@
   // If the program's home node knows the engine of the line, the program has already started,
   // possibly on another node. Without a reservation no home node was asked and the answer is
   // unknown: such turns are not refused.
-  const bool begins = call_.route->retained || (reserved_tokens_ > 0 && call_.line_engine.empty());
-  if (const auto wait = hold_program(state_, call_, begins)) {
+  const bool starts_program =
+      call_.route->retained || (reserved_tokens_ > 0 && call_.line_engine.empty());
+  if (const auto wait = hold_program(state_, call_, starts_program)) {
     co_return co_await refuse(call_, Kind::kOverloaded, *wait);
   }
-  first_turn_ = begins;
+  first_turn_ = starts_program;
   co_return std::nullopt;
 }
 
@@ -307,8 +308,9 @@
   auto head = exchange.head();
   record_engine_response(state_, exchange.engine(), head.result_int());
   exchange.finish();
-  const bool taken = co_await call_.channel.write_answer(std::move(head), std::move(body), false);
-  co_return CallEnd{taken ? "engine_status" : "caller_gone", taken};
+  const bool delivered =
+      co_await call_.channel.write_answer(std::move(head), std::move(body), false);
+  co_return CallEnd{delivered ? "engine_status" : "caller_gone", delivered};
 }
 
 net::asio::awaitable<StreamCall::RelayOutcome> StreamCall::relay(EngineExchange& exchange) {
@@ -380,8 +382,8 @@
     }
   }
   end_turn(turn, call_.offered.back());
-  const bool taken = co_await call_.channel.end_chunked();
-  co_return CallEnd{taken ? "answered" : "caller_gone", taken};
+  const bool delivered = co_await call_.channel.end_chunked();
+  co_return CallEnd{delivered ? "answered" : "caller_gone", delivered};
 }
 
 net::asio::awaitable<CallEnd> StreamCall::fail(DispatchFailure failure) {
--- a/tests/serving/event_scanner_test.cpp
+++ b/tests/serving/event_scanner_test.cpp
@@ -10,7 +10,7 @@
 TEST_CASE("events are parsed independently of how the bytes are split", "[serving]") {
   const std::string stream =
       "id: 1\ndata: one\n\nid: 2\r\ndata: two\r\ndata: more\r\n\r\n: note\nid:3\ndata:three\n\n";
-  const bool held = rc::check("any split gives the same events", [&stream] {
+  const bool passed = rc::check("any split gives the same events", [&stream] {
     EventScanner scanner;
     std::vector<serving::StreamEvent> events;
     std::size_t start = 0;
@@ -28,7 +28,7 @@
     RC_ASSERT(events[2].data == "three");
     RC_ASSERT(!scanner.has_partial_event());
   });
-  REQUIRE(held);
+  REQUIRE(passed);
 }
 
 TEST_CASE("an incomplete event is partial", "[serving]") {
