--- a/src/serving/dispatcher.hpp
+++ b/src/serving/dispatcher.hpp
@@ -1,4 +1,4 @@
-/// @file Offers a request to engines until one answers it.
+/// @file Sends a request to one engine after another until one of them responds.
 #pragma once
 
 #include <memory>
@@ -11,82 +11,85 @@
 
 enum class DispatchFailure {
   kNone,
-  kNoEngine,        ///< no usable engine was left; none has run the request
-  kRefused,         ///< every engine that was asked said that it did not run the request
-  kOutcomeUnknown,  ///< an engine may have run it
-  kTimedOut,        ///< the deadline passed
+  kNoEngine,        ///< no usable engine was left; the request has not run
+  kRefused,         ///< every engine tried reported that it did not run the request
+  kOutcomeUnknown,  ///< an engine may have run the request
+  kTimedOut,        ///< the deadline expired
   kCallerGone,
 };
 
 struct DispatchResult {
   DispatchFailure failure = DispatchFailure::kNone;
-  std::unique_ptr<EngineExchange> exchange;  ///< with the head of the answer
+  std::unique_ptr<EngineExchange> exchange;  ///< response head already read; nullptr on failure
 };
 
-/// At most one engine works on a request at any time. A request that may have run is offered again
-/// only when it is repeatable.
+/// Tries engines one at a time. A request that may have run is sent again only if it is repeatable.
 class Dispatcher {
  public:
   explicit Dispatcher(NodeState& state) : state_(state) {}
 
-  /// @param repeatable whether the request may run again.
-  /// @param body what the engine is to read; replaces the caller's body.
-  /// @param last_event_id where a stream goes on; empty at its start.
+  /// @param repeatable whether the request may run more than once.
+  /// @param body request body for the engine; replaces the caller's body.
+  /// @param last_event_id event after which a stream resumes; empty if no event was received yet.
   net::asio::awaitable<DispatchResult> dispatch(Call& call, const std::string& body,
                                                 bool repeatable, std::string last_event_id);
 
  private:
-  /// How the offer to one engine ended.
-  enum class OfferEnd { kAnswered, kRefused, kNotSent, kBroken, kTimedOut, kAborted };
+  /// Outcome of sending the request to one engine.
+  enum class OfferOutcome { kAnswered, kRefused, kNotSent, kBroken, kTimedOut, kAborted };
   struct Offer {
-    OfferEnd end = OfferEnd::kBroken;
+    OfferOutcome end = OfferOutcome::kBroken;
     std::unique_ptr<EngineExchange> exchange;
   };
 
   net::asio::awaitable<Offer> offer(Call& call, balancing::EnginePointer engine,
                                     const std::string& body, std::string last_event_id);
   net::asio::awaitable<void> finish_refusal(EngineExchange& exchange);
-  static std::optional<DispatchFailure> reason_to_stop(const Call& call);
-  void log_broken(const Call& call, EngineExchange& exchange, OpenOutcome outcome);
+  static std::optional<DispatchFailure> stop_reason(const Call& call);
+  void log_broken_exchange(const Call& call, EngineExchange& exchange, OpenOutcome outcome);
   std::shared_ptr<const net::TextRequest> engine_request(const Call& call,
                                                          const balancing::Engine& engine,
                                                          const std::string& body,
                                                          const std::string& last_event_id) const;
   balancing::EnginePointer select(Call& call);
-  /// Places of the long prompt's first part; nullptr: it shares none, or placing is switched off.
-  const balancing::PromptReplicas* prompt_places(const Call& call);
-  /// The engine that the attempt is bound to, if it can still be asked; see AttemptBound.
+  /// Engines that hold the shared prefix of a long prompt; nullptr if the prompt is short or has no
+  /// shared prefix, or if placement is disabled or not available for the service.
+  const balancing::PromptReplicas* prompt_replicas(const Call& call);
+  /// Engine that the attempt must continue on, or nullptr if it is no longer usable; see
+  /// AttemptBound.
   balancing::EnginePointer required_engine(const std::string& id);
-  /// Keeps up which engines may still be working on the attempt.
-  static void note_attempt(Call& call, EngineExchange& exchange, OfferEnd end);
-  void note_refusal(EngineExchange& exchange);
+  /// Updates the set of engines that may still be working on the attempt.
+  static void update_attempt_bound(Call& call, EngineExchange& exchange, OfferOutcome end);
+  void record_refusal(EngineExchange& exchange);
   void log_offer(const Call& call, const EngineExchange& exchange, const char* outcome);
 
   NodeState& state_;
 };
 
-/// What it means for a call that its answer could not be read to the end.
-DispatchFailure failure_of(ReadOutcome outcome);
+/// Maps a failure to read the rest of a response to the outcome of the call.
+DispatchFailure to_dispatch_failure(ReadOutcome outcome);
 
-/// An answer broke off after its head. @param bytes of its body that had come.
-void log_answer_broken(NodeState& state, const Call& call, const EngineExchange& exchange,
-                       std::size_t bytes);
+/// Logs that a response ended prematurely after its head.
+/// @param bytes received of the body.
+void log_broken_response(NodeState& state, const Call& call, const EngineExchange& exchange,
+                         std::size_t bytes);
 
-/// An answer broke off: tells by how it did whether its engine may still be working on the attempt.
-void note_broken_attempt(Call& call, const EngineExchange& exchange);
+/// Records that a response ended prematurely. After a connection reset the engine may still be
+/// working on the attempt; after any other error it is not.
+void record_broken_attempt(Call& call, const EngineExchange& exchange);
 
-/// Marks a failure of an engine: others come first for a while.
-void note_failure(NodeState& state, balancing::Engine& engine, const char* what);
+/// Records a failure of an engine, which is then avoided for a back-off period.
+void record_engine_failure(NodeState& state, balancing::Engine& engine, const char* what);
 
-/// Whether an engine's answer tells of a fault of the engine.
+/// Whether a response status indicates a fault of the engine.
 bool is_engine_failure(unsigned status);
 
 bool is_success(unsigned status);
 
-/// Marks a whole answer of an engine, good or bad by its status.
-void note_answer(NodeState& state, balancing::Engine& engine, unsigned status);
+/// Records a complete response as a success or a failure of the engine, depending on its status.
+void record_engine_response(NodeState& state, balancing::Engine& engine, unsigned status);
 
-/// Marks a good answer of an engine.
-void note_success(balancing::Engine& engine);
+/// Records a success of an engine and ends its back-off.
+void record_engine_success(balancing::Engine& engine);
 
 }  // namespace sailgate::serving
--- a/tests/serving/event_scanner_test.cpp
+++ b/tests/serving/event_scanner_test.cpp
@@ -7,10 +7,10 @@
 using namespace sailgate;
 using serving::EventScanner;
 
-TEST_CASE("events are found whole whatever pieces the bytes come in", "[serving]") {
+TEST_CASE("events are parsed independently of how the bytes are split", "[serving]") {
   const std::string stream =
       "id: 1\ndata: one\n\nid: 2\r\ndata: two\r\ndata: more\r\n\r\n: note\nid:3\ndata:three\n\n";
-  const bool held = rc::check("any split gives the same events", [&stream] {
+  const bool passed = rc::check("any split gives the same events", [&stream] {
     EventScanner scanner;
     std::vector<serving::StreamEvent> events;
     std::size_t start = 0;
@@ -26,17 +26,17 @@
     RC_ASSERT(events[1].data == "two\nmore");
     RC_ASSERT(events[2].id == "3");
     RC_ASSERT(events[2].data == "three");
-    RC_ASSERT(!scanner.has_partial());
+    RC_ASSERT(!scanner.has_partial_event());
   });
-  REQUIRE(held);
+  REQUIRE(passed);
 }
 
-TEST_CASE("an unfinished event is partial", "[serving]") {
+TEST_CASE("an incomplete event is partial", "[serving]") {
   EventScanner scanner;
   REQUIRE(scanner.feed("id: 1\ndata: on").empty());
-  REQUIRE(scanner.has_partial());
+  REQUIRE(scanner.has_partial_event());
   REQUIRE(scanner.feed("e\n").empty());
-  REQUIRE(scanner.has_partial());
+  REQUIRE(scanner.has_partial_event());
   REQUIRE(scanner.feed("\n").size() == 1);
-  REQUIRE_FALSE(scanner.has_partial());
+  REQUIRE_FALSE(scanner.has_partial_event());
 }
