--- a/src/serving/call_handler.cpp
+++ b/src/serving/call_handler.cpp
@@ -21,7 +21,7 @@
 }
 
 /// Whether a request that ended was let through by its tenant's limit and never ran.
-bool taken_back(const Call& call) {
+bool quota_refundable(const Call& call) {
   return call.admitted_at != net::TimePoint{} && !call.may_have_run;
 }
 
@@ -75,19 +75,20 @@
   const double draw = static_cast<double>(state_.random.below(1 << 20U)) / kDrawRange;
   call.service = routing::choose_service(*call.route, draw);
   call.attempts.set_most_engines(call.route->max_engines);
-  const auto held = call.description.deadline
-                        ? std::min(*call.description.deadline, call.route->timeout)
-                        : call.route->timeout;
-  call.deadline = call.received_at + held;
-  if (const auto refused = co_await hold_to_quota(call)) co_return *refused;
+  const auto timeout = call.description.deadline
+                           ? std::min(*call.description.deadline, call.route->timeout)
+                           : call.route->timeout;
+  call.deadline = call.received_at + timeout;
+  if (const auto refused = co_await check_quota(call)) co_return *refused;
   co_return co_await run(call);
 }
 
-net::asio::awaitable<void> CallHandler::admit(Call& call, cluster::QuotaRequest request) {
+net::asio::awaitable<void> CallHandler::decide_admission(Call& call,
+                                                         cluster::QuotaRequest request) {
   auto now = net::Clock::now();
   call.admission = state_.quotas.admit(*call.tenant, request, now);
-  const bool refused_inside = !call.admission.admitted && call.admission.within_limit;
-  if (refused_inside && state_.quotas.awaits_peer_reports(now)) {
+  const bool refused_within_limit = !call.admission.admitted && call.admission.within_limit;
+  if (refused_within_limit && state_.quotas.awaits_peer_reports(now)) {
     // A refusal for want of news would cost the caller a try that its tenant's limit allows.
     const auto wait = state_.quotas.peer_report_retry_delay(now);
     if (wait < call.time_left()) {
@@ -100,15 +101,16 @@
   if (call.admission.admitted) call.admitted_at = now;
 }
 
-net::asio::awaitable<std::optional<CallEnd>> CallHandler::hold_to_quota(Call& call) {
+net::asio::awaitable<std::optional<CallEnd>> CallHandler::check_quota(Call& call) {
   if (call.tenant == nullptr) co_return std::nullopt;
   const auto& description = call.description;
   cluster::QuotaRequest request;
   request.program = call.key_of(description.program);
   // Tools are called between the turns of a program.
-  const bool tool = call.route->kind != routing::RouteKind::kStream && !description.program.empty();
-  request.continues = tool || !description.previous_turn.empty();
-  co_await admit(call, request);
+  const bool is_tool_call =
+      call.route->kind != routing::RouteKind::kStream && !description.program.empty();
+  request.continues = is_tool_call || !description.previous_turn.empty();
+  co_await decide_admission(call, request);
   const auto& admission = call.admission;
   state_.metrics.tenant_request(call.tenant->name, admission);
   if (admission.admitted) co_return std::nullopt;
@@ -166,7 +168,7 @@
       .with("engine", call.offered.empty() ? "" : call.offered.back())
       .with("quota_counted", call.admission.counted)
       .with("quota_allowed", call.admission.allowed)
-      .with("quota_taken_back", static_cast<int>(taken_back(call)))
+      .with("quota_taken_back", static_cast<int>(quota_refundable(call)))
       .with("elapsed_ms", call.elapsed().count());
 }
 
@@ -186,9 +188,9 @@
     channel.unwatch();
   }
   --state_.active_requests;
-  if (taken_back(call)) state_.quotas.refund(*call.tenant, call.admitted_at);
+  if (quota_refundable(call)) state_.quotas.refund(*call.tenant, call.admitted_at);
   log_end(call, end);
-  co_return end.connection_usable&& channel.keep();
+  co_return end.connection_usable&& channel.keep_alive();
 }
 
 }  // namespace sailgate::serving
--- a/src/serving/call_handler.hpp
+++ b/src/serving/call_handler.hpp
@@ -28,9 +28,9 @@
   net::asio::awaitable<CallEnd> refuse_or_run(Call& call);
   net::asio::awaitable<CallEnd> run(Call& call);
   /// Decides by the tenant's limit; a node that lacks news of the others waits for it.
-  net::asio::awaitable<void> admit(Call& call, cluster::QuotaRequest request);
+  net::asio::awaitable<void> decide_admission(Call& call, cluster::QuotaRequest request);
   /// Refuses a request beyond its tenant's limit. @return nullopt: it may go on.
-  net::asio::awaitable<std::optional<CallEnd>> hold_to_quota(Call& call);
+  net::asio::awaitable<std::optional<CallEnd>> check_quota(Call& call);
   void log_end(const Call& call, const CallEnd& end);
 
   NodeState& state_;
--- a/src/serving/caller_session.cpp
+++ b/src/serving/caller_session.cpp
@@ -33,7 +33,7 @@
   co_return true;
 }
 
-net::asio::awaitable<bool> CallerSession::answer_unreadable(net::Error error) {
+net::asio::awaitable<bool> CallerSession::answer_read_error(net::Error error) {
   if (error == http::error::end_of_stream || error == net::asio::error::connection_reset ||
       error == net::asio::error::eof || error == http::error::partial_message) {
     co_return false;
@@ -63,27 +63,27 @@
 }
 
 net::asio::awaitable<bool> CallerSession::serve_one() {
-  const auto bounds = limits();
+  const auto caller_limits = limits();
   Parser parser;
-  parser.header_limit(static_cast<std::uint32_t>(bounds.header_bytes));
-  parser.body_limit(bounds.body_bytes);
+  parser.header_limit(static_cast<std::uint32_t>(caller_limits.header_bytes));
+  parser.body_limit(caller_limits.body_bytes);
   auto& stream = channel_.stream();
-  stream.expires_after(bounds.header_timeout);
+  stream.expires_after(caller_limits.header_timeout);
   net::Error error;
   co_await http::async_read_header(stream, channel_.buffer(), parser, net::awaiting(error));
-  if (error) co_return co_await answer_unreadable(error);
+  if (error) co_return co_await answer_read_error(error);
   if (parser.get()[http::field::expect] == "100-continue") {
     if (!co_await channel_.write("HTTP/1.1 100 Continue\r\n\r\n")) co_return false;
   }
   if (!parser.is_done()) {
-    stream.expires_after(bounds.idle_timeout);
+    stream.expires_after(caller_limits.idle_timeout);
     co_await http::async_read(stream, channel_.buffer(), parser, net::awaiting(error));
-    if (error) co_return co_await answer_unreadable(error);
+    if (error) co_return co_await answer_read_error(error);
   }
   stream.expires_never();
   auto request = parser.release();
-  const bool sends_elsewhere = state_.stopping || state_.readiness.steps_aside();
-  if (!request.keep_alive() || sends_elsewhere) channel_.close_after_answer();
+  const bool should_reconnect_elsewhere = state_.stopping || state_.readiness.steps_aside();
+  if (!request.keep_alive() || should_reconnect_elsewhere) channel_.close_after_answer();
   co_return co_await handler_.handle(channel_, std::move(request), net::Clock::now());
 }
 
--- a/src/serving/caller_session.hpp
+++ b/src/serving/caller_session.hpp
@@ -25,7 +25,7 @@
   /// Waits for the first byte of a request. @return whether there is one.
   net::asio::awaitable<bool> wait_for_request();
   net::asio::awaitable<bool> serve_one();
-  net::asio::awaitable<bool> answer_unreadable(net::Error error);
+  net::asio::awaitable<bool> answer_read_error(net::Error error);
   routing::CallerLimits limits() const;
 
   NodeState& state_;
--- a/src/serving/client_channel.cpp
+++ b/src/serving/client_channel.cpp
@@ -50,9 +50,9 @@
 
 }  // namespace
 
-void ClientChannel::watch(std::function<void()> on_gone) {
+void ClientChannel::watch(std::function<void()> on_disconnect) {
   watch_ = std::make_shared<Watch>();
-  watch_->on_gone = std::move(on_gone);
+  watch_->on_disconnect = std::move(on_disconnect);
   stream_.socket().async_wait(net::asio::ip::tcp::socket::wait_read,
                               [this, watch = watch_](const net::Error& error) {
                                 if (!watch->active || error) return;
@@ -60,7 +60,7 @@
                                   return;
                                 gone_ = true;
                                 watch->active = false;
-                                watch->on_gone();
+                                watch->on_disconnect();
                               });
 }
 
@@ -82,8 +82,8 @@
   co_return !error;
 }
 
-void ClientChannel::finish_head(http::response_header<>& head) const {
-  if (!keep_) head.set(http::field::connection, "close");
+void ClientChannel::set_connection_field(http::response_header<>& head) const {
+  if (!keep_alive_) head.set(http::field::connection, "close");
 }
 
 net::asio::awaitable<bool> ClientChannel::write_answer(http::response_header<> head,
@@ -95,7 +95,7 @@
   }
   remove_connection_fields(head);
   if (may_have_body(head.result_int())) head.set(http::field::content_length, length);
-  finish_head(head);
+  set_connection_field(head);
   auto text = head_text(head);
   if (!head_only) text += body;
   co_return co_await write(std::move(text));
@@ -104,7 +104,7 @@
 net::asio::awaitable<bool> ClientChannel::begin_chunked(http::response_header<> head) {
   remove_connection_fields(head);
   head.set(http::field::transfer_encoding, "chunked");
-  finish_head(head);
+  set_connection_field(head);
   co_return co_await write(head_text(head));
 }
 
--- a/src/serving/client_channel.hpp
+++ b/src/serving/client_channel.hpp
@@ -18,8 +18,8 @@
   ClientChannel& operator=(const ClientChannel&) = delete;
   ~ClientChannel() { unwatch(); }
 
-  /// Calls `on_gone` once when the caller closes its connection, until unwatch().
-  void watch(std::function<void()> on_gone);
+  /// Calls `on_disconnect` once when the caller closes its connection, until unwatch().
+  void watch(std::function<void()> on_disconnect);
   void unwatch();
   bool gone() const { return gone_; }
 
@@ -34,8 +34,8 @@
   net::asio::awaitable<bool> write_chunk(const std::string& bytes);
   net::asio::awaitable<bool> end_chunked();
   /// Answers carry "Connection: close" from now on.
-  void close_after_answer() { keep_ = false; }
-  bool keep() const { return keep_ && !gone_; }
+  void close_after_answer() { keep_alive_ = false; }
+  bool keep_alive() const { return keep_alive_ && !gone_; }
 
   net::beast::tcp_stream& stream() { return stream_; }
   net::beast::flat_buffer& buffer() { return buffer_; }
@@ -43,16 +43,16 @@
  private:
   struct Watch {
     bool active = true;
-    std::function<void()> on_gone;
+    std::function<void()> on_disconnect;
   };
 
-  void finish_head(net::http::response_header<>& head) const;
+  void set_connection_field(net::http::response_header<>& head) const;
 
   net::beast::tcp_stream stream_;
   net::beast::flat_buffer buffer_;
   std::shared_ptr<Watch> watch_;
   bool gone_ = false;
-  bool keep_ = true;
+  bool keep_alive_ = true;
 };
 
 }  // namespace sailgate::serving
--- a/src/serving/dispatcher.cpp
+++ b/src/serving/dispatcher.cpp
@@ -137,7 +137,7 @@
   directives.priority = call.priority();
   directives.tenant = call.tenant_name();
   directives.last_event_id = last_event_id;
-  state_.protocol.direct(*request, directives);
+  state_.protocol.apply_directives(*request, directives);
   request->version(11);
   request->body() = body;
   request->prepare_payload();
--- a/src/serving/edge_protocol.hpp
+++ b/src/serving/edge_protocol.hpp
@@ -53,7 +53,7 @@
   virtual CallDescription describe(const Fields& request) const = 0;
   /// Replaces in `request` the headers that the node sets itself, and removes those that only the
   /// system may set and the caller's key.
-  virtual void direct(Fields& request, const DispatchDirectives& directives) const = 0;
+  virtual void apply_directives(Fields& request, const DispatchDirectives& directives) const = 0;
   virtual AnswerFacts inspect(const net::http::response_header<>& answer) const = 0;
   /// Path at which the entry asks whether this node takes new connections.
   virtual std::string readiness_path() const = 0;
--- a/src/serving/held_turns.cpp
+++ b/src/serving/held_turns.cpp
@@ -3,7 +3,7 @@
 namespace sailgate::serving {
 
 HeldTurns::Ticket HeldTurns::add(net::TimePoint deadline, std::size_t bytes) {
-  const Ticket ticket{deadline, arrivals_++};
+  const Ticket ticket{deadline, next_arrival_++};
   held_[ticket] = bytes;
   bytes_ += bytes;
   return ticket;
@@ -18,12 +18,12 @@
 
 bool HeldTurns::may_begin(const Ticket& ticket, net::TimePoint now) {
   if (held_.empty() || held_.begin()->first != ticket) return false;
-  if (now >= pause_began_ + kBeginPause) {
-    pause_began_ = now;
-    begun_ = 0;
+  if (now >= batch_started_at_ + kStartBatchInterval) {
+    batch_started_at_ = now;
+    batch_starts_ = 0;
   }
-  if (begun_ >= kBeginTogether) return false;
-  ++begun_;
+  if (batch_starts_ >= kStartBatchSize) return false;
+  ++batch_starts_;
   return true;
 }
 
--- a/src/serving/held_turns.hpp
+++ b/src/serving/held_turns.hpp
@@ -30,15 +30,15 @@
 
   /// Turns that may begin together, and the pause after that: a node of 0.1 cores takes about a
   /// millisecond for each turn that begins.
-  static constexpr int kBeginTogether = 2;
-  static constexpr net::Millis kBeginPause{20};
+  static constexpr int kStartBatchSize = 2;
+  static constexpr net::Millis kStartBatchInterval{20};
 
  private:
   std::map<Ticket, std::size_t> held_;  ///< with the bytes of each
   std::size_t bytes_ = 0;
-  std::uint64_t arrivals_ = 0;
-  net::TimePoint pause_began_{};
-  int begun_ = 0;  ///< since then
+  std::uint64_t next_arrival_ = 0;
+  net::TimePoint batch_started_at_{};
+  int batch_starts_ = 0;  ///< since then
 };
 
 }  // namespace sailgate::serving
--- a/src/serving/node_state.hpp
+++ b/src/serving/node_state.hpp
@@ -166,9 +166,9 @@
   std::size_t silent_turn = 0;  ///< of lost processes that beacons pass on
   admission::ProgramAdmission admission;
   HeldTurns held_turns;
-  CallerPatience caller_patience;
-  TurnTimes turn_times;         ///< of whole turns at engines
-  TurnTimes first_event_times;  ///< of turns
+  CallerWaitEstimator caller_wait_estimator;
+  TurnDurationEstimator turn_times;         ///< of whole turns at engines
+  TurnDurationEstimator first_event_times;  ///< of turns
   bool stopping = false;
   int active_requests = 0;
 };
--- a/src/serving/program_gate.cpp
+++ b/src/serving/program_gate.cpp
@@ -9,8 +9,8 @@
 
 /// Time to come back where returns have no order: some times the age of what nodes know of loads,
 /// and up to this part more by chance, in parts of a hundred.
-constexpr net::Millis kOverloadReturn{800};
-constexpr std::uint64_t kReturnSpread = 50;
+constexpr net::Millis kOverloadRetryDelay{800};
+constexpr std::uint64_t kRetryJitterPercent = 50;
 
 admission::ProgramRequest request_of(const NodeState& state, const Call& call, bool begins) {
   admission::ProgramRequest request;
@@ -23,10 +23,10 @@
 }
 
 /// Without shares and an order of return: one bound on the load of each rank.
-std::optional<net::Millis> hold_to_bound(NodeState& state, const Call& call) {
+std::optional<net::Millis> check_load_bound(NodeState& state, const Call& call) {
   const auto load = balancing::mean_load(state.engines.of_service(call.service));
   if (admission::may_start(load, call.priority())) return std::nullopt;
-  const auto wait = kOverloadReturn * (100 + state.random.below(kReturnSpread)) / 100;
+  const auto wait = kOverloadRetryDelay * (100 + state.random.below(kRetryJitterPercent)) / 100;
   state.log.event("refused_for_load")
       .with("id", call.description.request_id)
       .with("program", call.description.program)
@@ -38,10 +38,11 @@
 
 }  // namespace
 
-std::optional<net::Millis> hold_program(NodeState& state, const Call& call, bool begins) {
+std::optional<net::Millis> check_program_admission(NodeState& state, const Call& call,
+                                                   bool begins) {
   if (!state.settings.mechanisms.overload) return std::nullopt;
   if (!state.settings.mechanisms.fairness) {
-    return begins ? hold_to_bound(state, call) : std::nullopt;
+    return begins ? check_load_bound(state, call) : std::nullopt;
   }
   const auto now = net::Clock::now();
   const auto& engines = state.engines.of_service(call.service);
--- a/src/serving/refusal.cpp
+++ b/src/serving/refusal.cpp
@@ -22,9 +22,9 @@
   net::http::response_header<> head;
   head.result(static_cast<unsigned>(answer.http_status));
   head.set(net::http::field::content_type, "application/json");
-  const bool may_return = answer.retry_rule != base::RetryRule::kNever;
+  const bool retry_allowed = answer.retry_rule != base::RetryRule::kNever;
   const auto wait = retry_after.count() > 0 ? retry_after : net::Millis(answer.retry_after);
-  if (may_return) head.set(net::http::field::retry_after, seconds_text(wait));
+  if (retry_allowed) head.set(net::http::field::retry_after, seconds_text(wait));
   std::string body = std::string("{\"error\":\"") + answer.name + "\"}\n";
   co_return co_await channel.write_answer(std::move(head), std::move(body), false);
 }
--- a/src/serving/stream_call.cpp
+++ b/src/serving/stream_call.cpp
@@ -49,7 +49,7 @@
     throw;
   }
   const bool left = !begun_ && call_.channel.gone();
-  if (left) state_.caller_patience.note(call_.elapsed(), true, net::Clock::now());
+  if (left) state_.caller_wait_estimator.record(call_.elapsed(), true, net::Clock::now());
   co_return end;
 }
 
@@ -93,7 +93,7 @@
     expected = state_.readiness.time_to_failover(net::Clock::now()) + part;
   }
   const bool for_all = outage.count() > 0 || state_.store.full();
-  const auto wait = return_time(expected, call_.time_left(), for_all ? draw : 0);
+  const auto wait = retry_delay(expected, call_.time_left(), for_all ? draw : 0);
   state_.log.event("refused_for_store")
       .with("id", call_.description.request_id)
       .with("why", why)
@@ -113,11 +113,11 @@
 
 TurnInOutage StreamCall::in_outage() const {
   TurnInOutage turn;
-  turn.expected_rest = state_.store.expected_outage();
-  turn.run_time = state_.turn_times.most();
-  turn.first_event = state_.first_event_times.most();
+  turn.remaining_outage = state_.store.expected_outage();
+  turn.run_time = state_.turn_times.upper_estimate();
+  turn.first_event = state_.first_event_times.upper_estimate();
   turn.time_left = call_.time_left();
-  const auto stays = state_.caller_patience.bound(net::Clock::now());
+  const auto stays = state_.caller_wait_estimator.max_wait(net::Clock::now());
   turn.wait_left = std::min(event_patience(), stays) - call_.elapsed();
   turn.held = state_.held_turns.count();
   turn.held_bytes = state_.held_turns.bytes();
@@ -133,17 +133,17 @@
   if (!state_.settings.mechanisms.holding) co_return co_await refuse_for_now("store_away");
   const auto turn = in_outage();
   const auto decision = decide_in_outage(turn);
-  if (decision.step == OutageStep::kRefuse) co_return co_await refuse_for_now(decision.why);
-  state_.log.event(decision.step == OutageStep::kHold ? "turn_held" : "turn_begun_in_outage")
+  if (decision.action == OutageAction::kRefuse) co_return co_await refuse_for_now(decision.why);
+  state_.log.event(decision.action == OutageAction::kHold ? "turn_held" : "turn_begun_in_outage")
       .with("id", call_.description.request_id)
       .with("why", decision.why)
-      .with("expected_outage_ms", turn.expected_rest.count())
+      .with("expected_outage_ms", turn.remaining_outage.count())
       .with("longest_ms", decision.longest.count())
       .with("run_ms", turn.run_time.count())
       .with("time_left_ms", turn.time_left.count())
       .with("wait_left_ms", turn.wait_left.count())
       .with("held", turn.held);
-  if (decision.step == OutageStep::kBegin) co_return std::nullopt;
+  if (decision.action == OutageAction::kBegin) co_return std::nullopt;
   co_return co_await wait_for_store(decision.longest);
 }
 
@@ -169,7 +169,7 @@
   state_.held_turns.remove(ticket);
   held_for_ = std::chrono::duration_cast<net::Millis>(net::Clock::now() - began);
   const bool gone = call_.channel.gone();
-  if (!gone) state_.caller_patience.note(call_.elapsed(), false, net::Clock::now());
+  if (!gone) state_.caller_wait_estimator.record(call_.elapsed(), false, net::Clock::now());
   state_.metrics.held_turn_ended(how, held_for_);
   state_.log.event("held_turn_ended")
       .with("id", call_.description.request_id)
@@ -218,7 +218,7 @@
   // A line of turns whose engine the program's home knows has begun, whichever node it reaches.
   // Where no home was asked nobody can tell, so that nothing is refused.
   const bool begins = call_.route->retained || (reserved_ > 0 && call_.line_engine.empty());
-  if (const auto wait = hold_program(state_, call_, begins)) {
+  if (const auto wait = check_program_admission(state_, call_, begins)) {
     co_return co_await refuse(call_, Kind::kOverloaded, *wait);
   }
   first_turn_ = begins;
@@ -343,7 +343,7 @@
   if (!begun_) {
     begun_ = true;
     state_.metrics.first_event(call_.elapsed());
-    state_.caller_patience.note(call_.elapsed(), false, net::Clock::now());
+    state_.caller_wait_estimator.record(call_.elapsed(), false, net::Clock::now());
     state_.first_event_times.observe(call_.elapsed() - held_for_);
     auto head = exchange.head();
     if (!co_await call_.channel.begin_chunked(std::move(head))) co_return false;
--- a/tests/serving/held_turns_test.cpp
+++ b/tests/serving/held_turns_test.cpp
@@ -9,7 +9,7 @@
 #include "serving/turn_times.hpp"
 
 using namespace sailgate;
-using serving::CallerPatience;
+using serving::CallerWaitEstimator;
 using serving::HeldTurns;
 
 namespace {
@@ -45,8 +45,8 @@
         }
       }
       RC_ASSERT(begun >= 1);  // somebody begins as soon as the pause is over
-      RC_ASSERT(begun <= HeldTurns::kBeginTogether);
-      time += static_cast<int>(HeldTurns::kBeginPause.count());
+      RC_ASSERT(begun <= HeldTurns::kStartBatchSize);
+      time += static_cast<int>(HeldTurns::kStartBatchInterval.count());
     }
     RC_ASSERT(held.count() == 0U);
     RC_ASSERT(held.bytes() == 0U);
@@ -65,39 +65,39 @@
 }
 
 TEST_CASE("nothing is concluded from callers that stay", "[serving][outage]") {
-  CallerPatience patience;
-  REQUIRE(patience.bound(at(0)) == CallerPatience::kLongest);
-  for (int i = 0; i < 100; ++i) patience.note(net::Millis(1500), false, at(i));
-  patience.note(net::Millis(900), true, at(100));
-  REQUIRE(patience.bound(at(100)) == CallerPatience::kLongest);
+  CallerWaitEstimator estimator;
+  REQUIRE(estimator.max_wait(at(0)) == CallerWaitEstimator::kMaxWait);
+  for (int i = 0; i < 100; ++i) estimator.record(net::Millis(1500), false, at(i));
+  estimator.record(net::Millis(900), true, at(100));
+  REQUIRE(estimator.max_wait(at(100)) == CallerWaitEstimator::kMaxWait);
 }
 
 TEST_CASE("the wait that callers bear is learned from those that leave", "[serving][outage]") {
-  CallerPatience patience;
+  CallerWaitEstimator estimator;
   // Of five callers two leave after 0.9 s, as those seen that wait long enough tell; shorter waits
   // that end otherwise say nothing of it.
   for (int i = 0; i < 10; ++i) {
-    patience.note(net::Millis(300), false, at(i));
-    patience.note(net::Millis(910), i % 5 < 2, at(i));
+    estimator.record(net::Millis(300), false, at(i));
+    estimator.record(net::Millis(910), i % 5 < 2, at(i));
   }
-  const auto bound = patience.bound(at(10));
+  const auto bound = estimator.max_wait(at(10));
   REQUIRE(bound <= net::Millis(900));
   REQUIRE(bound >= net::Millis(800));
 }
 
 TEST_CASE("impatient callers are forgotten after a while", "[serving][outage]") {
-  CallerPatience patience;
-  for (int i = 0; i < 8; ++i) patience.note(net::Millis(900), true, at(i));
-  REQUIRE(patience.bound(at(8)) <= net::Millis(900));
-  REQUIRE(patience.bound(at(30'000)) == CallerPatience::kLongest);
+  CallerWaitEstimator estimator;
+  for (int i = 0; i < 8; ++i) estimator.record(net::Millis(900), true, at(i));
+  REQUIRE(estimator.max_wait(at(8)) <= net::Millis(900));
+  REQUIRE(estimator.max_wait(at(30'000)) == CallerWaitEstimator::kMaxWait);
 }
 
 TEST_CASE("turn times hold most turns", "[serving][outage]") {
-  serving::TurnTimes times;
-  REQUIRE(times.most() > net::Millis(0));
+  serving::TurnDurationEstimator times;
+  REQUIRE(times.upper_estimate() > net::Millis(0));
   times.observe(net::Millis(100));
-  REQUIRE(times.most() == net::Millis(100));
+  REQUIRE(times.upper_estimate() == net::Millis(100));
   for (int i = 0; i < 200; ++i) times.observe(net::Millis(i % 10 == 0 ? 300 : 100));
-  REQUIRE(times.most() >= net::Millis(150));
-  REQUIRE(times.most() <= net::Millis(320));
+  REQUIRE(times.upper_estimate() >= net::Millis(150));
+  REQUIRE(times.upper_estimate() <= net::Millis(320));
 }
