--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// A settings file that is gone with the test.
+/// Settings file that is removed at the end of the test.
 struct SettingsFile {
   std::string path = "/tmp/sailgate-settings-" + std::to_string(::getpid()) + ".toml";
   explicit SettingsFile(const std::string& text) { std::ofstream(path) << text; }
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-TEST_CASE("a settings file gives the node its addresses", "[platform]") {
+TEST_CASE("node settings are read from the settings file", "[platform]") {
   const SettingsFile file(kSettings);
   const auto settings = platform::read_node_settings(file.path);
   REQUIRE(settings.callers.port() == 8149);
@@ -58,7 +58,7 @@
   REQUIRE(settings.quota_bounds == quota::Bounds{net::Millis(4000), 0.2, 30});
 }
 
-TEST_CASE("bounds on limits that make no sense are refused by name", "[platform]") {
+TEST_CASE("invalid quota bounds are rejected with the name of the setting", "[platform]") {
   const auto with = [](const std::string& line) {
     std::string text = kSettings;
     const auto start = text.find(line.substr(0, line.find(' ')));
@@ -72,7 +72,7 @@
   }
 }
 
-TEST_CASE("a settings file that lacks something is refused by name", "[platform]") {
+TEST_CASE("an incomplete or malformed settings file is rejected with its path", "[platform]") {
   for (const auto* line : {"node =", "zone =", "port_range", "front =", "ready =", "addr ="}) {
     const SettingsFile file(without(line));
     CAPTURE(line);
@@ -85,7 +85,7 @@
   REQUIRE_THROWS(platform::read_node_settings("/nonexistent"));
 }
 
-TEST_CASE("a configuration is decoded with its defaults", "[platform]") {
+TEST_CASE("a configuration is decoded with default values", "[platform]") {
   const auto configuration = platform::decode_configuration(
       R"({"version":7,"routes":[{"name":"r","host":"h","path_prefix":"/a/","kind":"stream",
       "timeout_ms":4000,"slo_ms":200,"priority":1,"backends":[{"service":"s","weight":90},
@@ -104,7 +104,7 @@
   REQUIRE(configuration.limits.header_bytes == 16384);
 }
 
-TEST_CASE("tenants are decoded without their keys", "[platform]") {
+TEST_CASE("tenants are decoded with digests of their keys", "[platform]") {
   const auto configuration = platform::decode_configuration(
       R"({"version":1,"routes":[{"host":"h","path_prefix":"/a/","service":"s","public":true,
       "max_attempts":2}],"services":[],"tenants":[
@@ -126,7 +126,7 @@
   REQUIRE(band.key_digests.empty());
 }
 
-TEST_CASE("what is no configuration or engine throws", "[platform]") {
+TEST_CASE("invalid configurations and engine records throw", "[platform]") {
   for (const auto* text : {"", "{}", "[]", R"({"version":1,"routes":[{}],"services":[]})"}) {
     CAPTURE(text);
     REQUIRE_THROWS(platform::decode_configuration(text));
@@ -136,7 +136,7 @@
                     balancing::UnusableEntry);
 }
 
-TEST_CASE("base64 round trips and refuses what it is not", "[platform]") {
+TEST_CASE("base64 round-trips and rejects invalid input", "[platform]") {
   for (const auto& bytes : {std::string(), std::string("a"), std::string("\0\xff", 2)}) {
     REQUIRE(platform::decode_base64(platform::encode_base64(bytes)) == bytes);
   }
@@ -144,7 +144,7 @@
   REQUIRE_THROWS(platform::decode_base64("!!!"));
 }
 
-TEST_CASE("a caller's headers become a description", "[platform]") {
+TEST_CASE("request headers are decoded into a call description", "[platform]") {
   net::http::fields fields;
   fields.set("Sailgate-Request-Id", "id");
   fields.set("Sailgate-Tokens", "1840,288");
--- a/tests/platform/table_wire_test.cpp
+++ b/tests/platform/table_wire_test.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-TEST_CASE("a transaction survives the wire", "[platform]") {
+TEST_CASE("a transaction round-trips", "[platform]") {
   store::Transaction transaction;
   transaction.conditions.push_back({{"t", "p", "k"}, 7});
   store::Row row;
@@ -27,7 +27,8 @@
   REQUIRE(read.removals.front().key == "gone");
 }
 
-TEST_CASE("ranges and feeds survive the wire, whatever their names hold", "[platform]") {
+TEST_CASE("range reads and feed requests round-trip with special characters in names",
+          "[platform]") {
   store::RangeRead range;
   range.table = "a table";
   range.part = "1&2=3";
@@ -49,7 +50,7 @@
   REQUIRE(follow.wait == call.wait);
 }
 
-TEST_CASE("a row that cannot be read takes no other row with it", "[platform]") {
+TEST_CASE("a malformed row does not affect the other rows", "[platform]") {
   const auto result = platform::decode_result(
       200,
       R"({"rows":[{"key":"a","value":"YQ=="},{"key":"b","value":"!!"},7,{"key":"c","value":4},)"
@@ -62,7 +63,7 @@
   REQUIRE(result.rows.at(3).value == "d");
 }
 
-TEST_CASE("results survive the wire", "[platform]") {
+TEST_CASE("results round-trip", "[platform]") {
   store::StoreResult result;
   result.status = store::StoreStatus::kConflict;
   result.version = 12;
@@ -71,9 +72,9 @@
   row.id = {"t", "", "k"};
   row.value = "v";
   row.version = 9;
-  store::Row gone = row;
-  gone.removed = true;
-  result.rows = {row, gone};
+  store::Row removed_row = row;
+  removed_row.removed = true;
+  result.rows = {row, removed_row};
   const auto read =
       platform::decode_result(platform::status_of(result.status), platform::encode_result(result));
   REQUIRE(read.status == result.status);
@@ -83,13 +84,13 @@
   REQUIRE(read.rows.back().removed);
 }
 
-TEST_CASE("damaged calls are errors, damaged answers are no answers", "[platform]") {
+TEST_CASE("malformed requests throw, malformed responses have an unknown outcome", "[platform]") {
   REQUIRE_THROWS(platform::decode_transaction("{"));
   REQUIRE_THROWS(platform::decode_follow("after=x&wait_ms=1"));
   REQUIRE(platform::decode_result(200, "{").status == store::StoreStatus::kUnknown);
 }
 
-TEST_CASE("a store that is full or asked too often says so apart from others", "[platform]") {
+TEST_CASE("a full store and throttling have distinct statuses", "[platform]") {
   REQUIRE(platform::decode_result(507, "{}").status == store::StoreStatus::kFull);
   REQUIRE(platform::decode_result(429, "{}").status == store::StoreStatus::kThrottled);
   REQUIRE(platform::decode_result(503, "{}").status == store::StoreStatus::kRefused);
