--- a/src/serving/outage_decision.cpp
+++ b/src/serving/outage_decision.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Allows for network latency to the caller and the final steps of a turn, without which a turn
-/// planned to end right at the caller's limit would miss it.
+/// Safety margin for network latency to the caller and the final steps of a turn. A turn planned to
+/// end right at the caller's limit may miss it.
 constexpr net::Millis kDeadlineMargin{100};
 /// Shorter holds are useless, since the return of the store is detected later than that.
 constexpr net::Millis kMinHold{50};
@@ -22,8 +22,8 @@
 /// - 7 s outage, 1,000 programs: 15; 381 if all turns are refused; 380 with a ratio of 1.
 /// - 4.5 s outage, 750 programs: none; 112 if all turns are refused; 11 with a ratio of 1.
 /// - 18 s outage, 2,100 programs: 1,486; 1,482 if all turns are refused; 988 if all are held.
-/// Callers
-///   waited in vain for 2,780 s in total, and for 9,036 s if all turns are held.
+/// In the last case, holding all turns raised the total time that callers waited in vain from
+/// 2,780 s to 9,036 s.
 constexpr int kMaxOutageToHoldRatio = 4;
 constexpr net::Millis kMinRetryDelay{50};
 
