--- a/src/serving/engine_entries.cpp
+++ b/src/serving/engine_entries.cpp
@@ -12,7 +12,7 @@
 /// engine's. One telling entry would be too few: whoever writes it would take all engines of an
 /// older platform out of use. All of them would be too many: one entry without would do. While
 /// engines are upgraded in turn, a quarter of them at most is out of use.
-constexpr double kTellingShare = 0.75;
+constexpr double kMinReportingShare = 0.75;
 
 }  // namespace
 
@@ -33,14 +33,14 @@
       .with("was_draining", static_cast<int>(before.record.draining));
 }
 
-bool EngineEntries::starts_are_told() const {
-  const auto telling = std::count_if(tells_start_.begin(), tells_start_.end(),
-                                     [](const auto& entry) { return entry.second; });
-  const auto all = static_cast<double>(tells_start_.size());
-  return telling > 0 && static_cast<double>(telling) >= kTellingShare * all;
+bool EngineEntries::starts_reported() const {
+  const auto reporting = std::count_if(reports_start_.begin(), reports_start_.end(),
+                                       [](const auto& entry) { return entry.second; });
+  const auto all = static_cast<double>(reports_start_.size());
+  return reporting > 0 && static_cast<double>(reporting) >= kMinReportingShare * all;
 }
 
-void EngineEntries::note_unusable(const store::Row& row, EntryFault fault, const char* what) {
+void EngineEntries::mark_unusable(const store::Row& row, EntryFault fault, const char* what) {
   const auto known = unusable_.find(row.id.key);
   // One line for each time that an entry's fault changes: a writer may repeat itself for hours.
   if (known != unusable_.end() && known->second == fault) return;
@@ -54,7 +54,7 @@
       .with("known", static_cast<int>(state_.engines.at(row.id.key) != nullptr));
 }
 
-void EngineEntries::note_usable(const store::Row& row, const balancing::EngineRecord& record) {
+void EngineEntries::mark_usable(const store::Row& row, const balancing::EngineRecord& record) {
   const bool was_unusable = unusable_.erase(row.id.key) > 0;
   if (was_unusable) state_.metrics.set_unusable_entries(unusable_.size());
   if (!was_unusable && state_.engines.at(row.id.key) != nullptr) return;
@@ -67,17 +67,17 @@
 std::optional<balancing::EngineRecord> EngineEntries::read(const store::Row& row) {
   try {
     auto record = records_.decode_engine(row.id.key, row.value);
-    tells_start_[row.id.key] = record.started_ms.has_value();
+    reports_start_[row.id.key] = record.started_ms.has_value();
     return record;
   } catch (const balancing::UnusableEntry& error) {
-    tells_start_.erase(row.id.key);
-    note_unusable(row, error.fault(), error.what());
+    reports_start_.erase(row.id.key);
+    mark_unusable(row, error.fault(), error.what());
     return std::nullopt;
   }
 }
 
-void EngineEntries::take_whole(const std::vector<store::Row>& rows, bool may_return) {
-  tells_start_.clear();
+void EngineEntries::apply_snapshot(const std::vector<store::Row>& rows, bool may_reappear) {
+  reports_start_.clear();
   std::unordered_map<std::string, EntryFault> before;
   std::swap(before, unusable_);
   std::vector<balancing::EngineRecord> readable;
@@ -91,11 +91,11 @@
       sources.push_back(&row);
     }
   }
-  const bool told = starts_are_told();
+  const bool starts_expected = starts_reported();
   std::vector<balancing::EngineRecord> engines;
   for (std::size_t i = 0; i < readable.size(); ++i) {
-    if (told && !readable[i].started_ms) {
-      note_unusable(*sources[i], EntryFault::kStartMissing, "");
+    if (starts_expected && !readable[i].started_ms) {
+      mark_unusable(*sources[i], EntryFault::kStartMissing, "");
       continue;
     }
     unusable_.erase(readable[i].entry_key());
@@ -105,7 +105,8 @@
   for (const auto& [key, fault] : unusable_) suspended.push_back(key);
   using AbsentPolicy = balancing::EngineRegistry::AbsentPolicy;
   state_.engines.replace(std::move(engines),
-                         may_return ? AbsentPolicy::kMarkStale : AbsentPolicy::kRemove, suspended);
+                         may_reappear ? AbsentPolicy::kMarkStale : AbsentPolicy::kRemove,
+                         suspended);
   state_.engines_known = true;
   state_.metrics.set_unusable_entries(unusable_.size());
   state_.log.event("engines_read")
@@ -113,10 +114,10 @@
       .with("unusable", unusable_.size());
 }
 
-void EngineEntries::take_removal(const store::Row& row, bool may_return) {
-  tells_start_.erase(row.id.key);
+void EngineEntries::apply_removal(const store::Row& row, bool may_reappear) {
+  reports_start_.erase(row.id.key);
   if (unusable_.erase(row.id.key) > 0) state_.metrics.set_unusable_entries(unusable_.size());
-  if (!may_return) {
+  if (!may_reappear) {
     state_.engines.remove(row.id.key);
     return;
   }
@@ -126,21 +127,21 @@
   state_.engines.mark_stale(row.id.key);
 }
 
-void EngineEntries::take_change(const store::Row& row, bool may_return) {
+void EngineEntries::apply_change(const store::Row& row, bool may_reappear) {
   if (row.removed) {
-    take_removal(row, may_return);
+    apply_removal(row, may_reappear);
     return;
   }
   auto record = read(row);
-  if (record && !record->started_ms && starts_are_told()) {
-    note_unusable(row, EntryFault::kStartMissing, "");
+  if (record && !record->started_ms && starts_reported()) {
+    mark_unusable(row, EntryFault::kStartMissing, "");
     record.reset();
   }
   if (!record) {
     state_.engines.suspend(row.id.key);
     return;
   }
-  note_usable(row, *record);
+  mark_usable(row, *record);
   state_.engines.put(std::move(*record));
 }
 
--- a/src/serving/engine_entries.hpp
+++ b/src/serving/engine_entries.hpp
@@ -23,22 +23,22 @@
 
   /// Takes the whole list. @param may_return entries that are gone may be so only because the store
   /// was away.
-  void take_whole(const std::vector<store::Row>& rows, bool may_return);
+  void apply_snapshot(const std::vector<store::Row>& rows, bool may_reappear);
   /// Takes one entry, changed or gone.
-  void take_change(const store::Row& row, bool may_return);
+  void apply_change(const store::Row& row, bool may_reappear);
 
  private:
   std::optional<balancing::EngineRecord> read(const store::Row& row);
-  void take_removal(const store::Row& row, bool may_return);
-  void note_unusable(const store::Row& row, balancing::EntryFault fault, const char* what);
-  void note_usable(const store::Row& row, const balancing::EngineRecord& record);
-  bool starts_are_told() const;
+  void apply_removal(const store::Row& row, bool may_reappear);
+  void mark_unusable(const store::Row& row, balancing::EntryFault fault, const char* what);
+  void mark_usable(const store::Row& row, const balancing::EngineRecord& record);
+  bool starts_reported() const;
   void log_restart(const balancing::Engine& before, const balancing::EngineRecord& now);
 
   NodeState& state_;
   const PlatformRecords& records_;
   std::unordered_map<std::string, balancing::EntryFault> unusable_;  ///< by the entry's key
-  std::unordered_map<std::string, bool> tells_start_;  ///< of readable entries, by their key
+  std::unordered_map<std::string, bool> reports_start_;  ///< of readable entries, by their key
 };
 
 }  // namespace sailgate::serving
--- a/src/serving/engine_picture.cpp
+++ b/src/serving/engine_picture.cpp
@@ -8,51 +8,51 @@
 
 /// Engines of shared prompts are settled anew this often: within it all nodes hear what the others
 /// are asked for, and it is a small part of the window in which requests count.
-constexpr net::Millis kPromptInterval{1000};
+constexpr net::Millis kPlacementInterval{1000};
 /// Lines a service and time about prompts whose number of engines changed; each tells how many did.
-constexpr std::size_t kMostPlacesLines = 4;
+constexpr std::size_t kMaxReplicaLogLines = 4;
 
 constexpr double kPermille = 1000;
 
 }  // namespace
 
-void EnginePicture::maintain(net::TimePoint now) {
+void EngineStateUpdater::maintain(net::TimePoint now) {
   const auto& mechanisms = state_.settings.mechanisms;
-  if (mechanisms.peer_loads) take_loads(now);
-  if (mechanisms.peer_failures) take_failures(now);
-  if (mechanisms.speeds) take_speeds(now);
-  if (mechanisms.prompts) place_prompts(now);
+  if (mechanisms.peer_loads) update_loads(now);
+  if (mechanisms.peer_failures) update_failures(now);
+  if (mechanisms.speeds) update_speeds(now);
+  if (mechanisms.prompts) update_prompt_placement(now);
 }
 
-void EnginePicture::take_loads(net::TimePoint now) {
+void EngineStateUpdater::update_loads(net::TimePoint now) {
   const auto peer_loads = state_.peers.loads(now, state_.beacons.silence_limit());
   for (const auto& engine : state_.engines.all()) {
     engine->peer_in_flight = peer_loads.at(engine->record.id);
   }
 }
 
-void EnginePicture::take_speeds(net::TimePoint now) {
-  if (now < speeds_taken_at_ + balancing::kSpeedSampleInterval) return;
-  speeds_taken_at_ = now;
-  const auto told = state_.peers.live_stats(now, state_.beacons.silence_limit()).speeds;
+void EngineStateUpdater::update_speeds(net::TimePoint now) {
+  if (now < speeds_updated_at_ + balancing::kSpeedSampleInterval) return;
+  speeds_updated_at_ = now;
+  const auto reported = state_.peers.live_stats(now, state_.beacons.silence_limit()).speeds;
   const auto engines = state_.engines.all();
   double slowest = balancing::kMaxPermille / kPermille;
   double fastest = 0;
   for (const auto& engine : engines) {
-    const auto entry = told.find(cluster::engine_key(engine->record.id));
-    balancing::SpeedReport others;
-    if (entry != told.end()) others = {entry->second.permille, entry->second.samples};
-    engine->speed_estimate.update(engine->own_speed.figure(now), others, now);
+    const auto entry = reported.find(cluster::engine_key(engine->record.id));
+    balancing::SpeedReport peer_report;
+    if (entry != reported.end()) peer_report = {entry->second.permille, entry->second.samples};
+    engine->speed_estimate.update(engine->own_speed.figure(now), peer_report, now);
     engine->speed = engine->speed_estimate.value();
     slowest = std::min(slowest, engine->speed);
     fastest = std::max(fastest, engine->speed);
-    log_speed(*engine, others, now);
+    log_speed(*engine, peer_report, now);
   }
   if (!engines.empty()) state_.metrics.set_engine_speeds(slowest, fastest);
 }
 
-void EnginePicture::log_speed(balancing::Engine& engine, const balancing::SpeedReport& told,
-                              net::TimePoint now) {
+void EngineStateUpdater::log_speed(balancing::Engine& engine,
+                                   const balancing::SpeedReport& reported, net::TimePoint now) {
   const auto before = engine.speed_step.value();
   if (!engine.speed_step.should_log(engine.speed, now)) return;
   const auto own = engine.own_speed.figure(now);
@@ -63,31 +63,31 @@
       .with("step_before", before)
       .with("own_permille", own.permille)
       .with("own_samples", own.samples)
-      .with("told_permille", told.permille)
-      .with("told_samples", told.samples);
+      .with("told_permille", reported.permille)
+      .with("told_samples", reported.samples);
 }
 
-void EnginePicture::take_failures(net::TimePoint now) {
+void EngineStateUpdater::update_failures(net::TimePoint now) {
   const auto silence = state_.beacons.silence_limit();
   const auto failures = state_.peers.failures(now, silence);
   for (const auto& engine : state_.engines.all()) {
     const auto& id = engine->record.id;
-    const int told = failures.at(id);
-    const bool suspect = told > 0 || balancing::failed_lately(*engine, now);
-    const bool tries = suspect && !state_.peers.home(id, now, silence).has_value();
-    const bool left = suspect && balancing::should_await_probe(*engine, told, tries, now);
-    if (left == engine->awaiting_probe) continue;
-    engine->awaiting_probe = left;
-    state_.log.event(left ? "engine_left_to_probe" : "engine_used_again")
+    const int reported = failures.at(id);
+    const bool suspect = reported > 0 || balancing::failed_lately(*engine, now);
+    const bool probes = suspect && !state_.peers.home(id, now, silence).has_value();
+    const bool awaiting = suspect && balancing::should_await_probe(*engine, reported, probes, now);
+    if (awaiting == engine->awaiting_probe) continue;
+    engine->awaiting_probe = awaiting;
+    state_.log.event(awaiting ? "engine_left_to_probe" : "engine_used_again")
         .with("engine", id)
         .with("own_failures", engine->consecutive_failures)
-        .with("told_failures", told);
+        .with("told_failures", reported);
   }
 }
 
-void EnginePicture::place_prompts(net::TimePoint now) {
-  if (state_.routes == nullptr || now < prompts_placed_at_ + kPromptInterval) return;
-  prompts_placed_at_ = now;
+void EngineStateUpdater::update_prompt_placement(net::TimePoint now) {
+  if (state_.routes == nullptr || now < prompts_updated_at_ + kPlacementInterval) return;
+  prompts_updated_at_ = now;
   auto counts = state_.prompt_demand.told(now);
   cluster::add_counts(state_.peers.live_stats(now, state_.beacons.silence_limit()).prompts, counts);
   std::size_t prompts = 0;
@@ -102,18 +102,19 @@
     const auto changes =
         placement.update(of_service, state_.engines.of_service(service.name),
                          balancing::prompts_per_engine(service.engine_memory_tokens, tokens));
-    log_places(service, tokens, changes);
+    log_replica_changes(service, tokens, changes);
     prompts += placement.prompts();
     copies += placement.copies();
   }
   state_.metrics.set_prompts(prompts, copies);
 }
 
-void EnginePicture::log_places(const routing::Service& service, double prompt_tokens,
-                               const std::vector<balancing::ReplicaCountChange>& changes) {
+void EngineStateUpdater::log_replica_changes(
+    const routing::Service& service, double prompt_tokens,
+    const std::vector<balancing::ReplicaCountChange>& changes) {
   std::size_t lines = 0;
   for (const auto& change : changes) {
-    if (lines++ == kMostPlacesLines) break;
+    if (lines++ == kMaxReplicaLogLines) break;
     state_.log.event("prompt_engines")
         .with("service", service.name)
         .with("memory_tokens", service.engine_memory_tokens)
--- a/src/serving/gateway.cpp
+++ b/src/serving/gateway.cpp
@@ -13,21 +13,21 @@
 constexpr net::Millis kMaintenanceInterval{100};
 /// Without the readiness mechanism: a node that has not reached the store for this long asks
 /// callers to go elsewhere.
-constexpr net::Millis kContactTime{3500};
+constexpr net::Millis kMaxStoreSilence{3500};
 /// The listener stays open so much longer than the entry needs to notice that this node stops:
 /// connections that were opened until then still arrive.
-constexpr net::Millis kLateConnections{1000};
+constexpr net::Millis kLateConnectionTime{1000};
 /// A planned stop ends this long before it would be forced.
 constexpr net::Millis kStopMargin{700};
-constexpr net::Millis kStopPoll{50};
+constexpr net::Millis kStopPollInterval{50};
 /// The other nodes hear within this time that this one is no home any more.
-constexpr net::Millis kHomesNotice{300};
+constexpr net::Millis kHomeChangeNotice{300};
 /// Longest that tokens are given back at once.
-constexpr net::Millis kReleaseTime{800};
-constexpr net::Millis kAcceptPause{20};
+constexpr net::Millis kReleaseTimeout{800};
+constexpr net::Millis kAcceptRetryDelay{20};
 /// An owner of programs that was not heard of for so long is taken to be lost: its escrow with it,
 /// so a pause of its process should not be enough.
-constexpr net::Millis kOwnerSilence{2000};
+constexpr net::Millis kOwnerLossTimeout{2000};
 
 }  // namespace
 
@@ -37,8 +37,8 @@
     : context_(context),
       state_(context, std::move(settings), protocol, store, log, incarnation),
       feeds_(state_, records, incarnation),
-      engine_picture_(state_),
-      reach_watch_(state_, [this] { close_idle_sessions(); }),
+      engine_state_updater_(state_),
+      reachability_monitor_(state_, [this] { close_idle_sessions(); }),
       acceptor_(context, state_.settings.callers),
       readiness_(context, state_.settings.readiness,
                  [this](net::TextRequest request) -> net::asio::awaitable<net::TextResponse> {
@@ -92,16 +92,16 @@
 
 net::TextResponse Gateway::answer_readiness(const net::TextRequest& request) const {
   net::TextResponse response;
-  const bool asked = request.target() == state_.protocol.readiness_path();
-  response.result(asked && ready() ? net::http::status::ok
-                                   : net::http::status::service_unavailable);
+  const bool path_matches = request.target() == state_.protocol.readiness_path();
+  response.result(path_matches && ready() ? net::http::status::ok
+                                          : net::http::status::service_unavailable);
   return response;
 }
 
 bool Gateway::ready() const {
   if (state_.stopping || state_.routes == nullptr || !state_.engines_known) return false;
   if (state_.settings.mechanisms.readiness) return !state_.readiness.steps_aside();
-  return net::Clock::now() - feeds_.last_contact() < kContactTime;
+  return net::Clock::now() - feeds_.last_contact() < kMaxStoreSilence;
 }
 
 void Gateway::start() {
@@ -131,7 +131,7 @@
     net::Error error;
     auto socket = co_await acceptor_.async_accept(net::awaiting(error));
     if (error) {
-      co_await net::sleep_for(context_, kAcceptPause);
+      co_await net::sleep_for(context_, kAcceptRetryDelay);
       continue;
     }
     net::tune(socket);
@@ -144,15 +144,15 @@
   while (true) {
     co_await net::sleep_for(context_, kMaintenanceInterval);
     const auto now = net::Clock::now();
-    state_.note_running(now);
+    state_.detect_stall(now);
     state_.connections.expire(now);
     feeds_.maintain(now);
     state_.store.set_silence_limit(state_.beacons.silence_limit());
     state_.quotas.refresh(now, state_.beacons.silence_limit());
     state_.ledger.budgets.evict_idle(now);
-    engine_picture_.maintain(now);
-    reach_watch_.maintain(now);
-    if (state_.settings.mechanisms.fairness) take_peer_begun(now);
+    engine_state_updater_.maintain(now);
+    reachability_monitor_.maintain(now);
+    if (state_.settings.mechanisms.fairness) apply_peer_starts(now);
     state_.metrics.set_escrow_shards(state_.ledger.escrow.spendable_shards().size(),
                                      state_.ledger.escrow.bare_shards().size());
     state_.metrics.set_open_reservations(state_.turns.open_reservations());
@@ -164,7 +164,7 @@
   }
 }
 
-void Gateway::take_peer_begun(net::TimePoint now) {
+void Gateway::apply_peer_starts(net::TimePoint now) {
   const auto silence = state_.beacons.silence_limit();
   const auto seen = readiness::build_readiness_view(state_.peers, now, silence);
   const auto age = std::min(seen.own_zone.last_heard_age, seen.other_zones.last_heard_age);
@@ -187,10 +187,12 @@
 }
 
 ledger::EscrowPeers Gateway::escrow_peers() {
-  const auto silence = [this] { return std::max(kOwnerSilence, state_.beacons.silence_limit()); };
+  const auto silence = [this] {
+    return std::max(kOwnerLossTimeout, state_.beacons.silence_limit());
+  };
   ledger::EscrowPeers peers;
   peers.unowned = [this, silence] {
-    state_.note_running(net::Clock::now());
+    state_.detect_stall(net::Clock::now());
     std::set<int> own;
     for (const auto shard : state_.ledger.escrow.spendable_shards()) own.insert(shard);
     for (const auto shard : state_.ledger.escrow.bare_shards()) own.insert(shard);
@@ -204,20 +206,20 @@
 
 net::asio::awaitable<void> Gateway::release_tokens() {
   co_await state_.ledger.escrow.hand_over(state_.ledger.budgets.escrow_spent(),
-                                          net::Clock::now() + kReleaseTime);
-  co_await net::sleep_for(context_, kHomesNotice);
-  co_await state_.ledger.budgets.release_all(net::Clock::now() + kReleaseTime);
+                                          net::Clock::now() + kReleaseTimeout);
+  co_await net::sleep_for(context_, kHomeChangeNotice);
+  co_await state_.ledger.budgets.release_all(net::Clock::now() + kReleaseTimeout);
 }
 
 net::asio::awaitable<void> Gateway::finish_stop() {
   co_await feeds_.unregister_self();
   net::asio::co_spawn(context_, release_tokens(), net::asio::detached);
-  co_await net::sleep_for(context_, readiness::kLoadBalancerDetectionTime + kLateConnections);
+  co_await net::sleep_for(context_, readiness::kLoadBalancerDetectionTime + kLateConnectionTime);
   net::Error ignored;
   acceptor_.close(ignored);
   const auto limit = stop_began_ + state_.settings.stop_grace - kStopMargin;
   while (state_.active_requests > 0 && net::Clock::now() < limit) {
-    co_await net::sleep_for(context_, kStopPoll);
+    co_await net::sleep_for(context_, kStopPollInterval);
   }
   // NOTE: nothing may be awaited from here on: idle connections would take requests that get cut.
   close_idle_sessions();
--- a/src/serving/gateway.hpp
+++ b/src/serving/gateway.hpp
@@ -41,7 +41,7 @@
   net::asio::awaitable<void> maintain();
   net::asio::awaitable<void> finish_stop();
   /// Programs that the other nodes let begin.
-  void take_peer_begun(net::TimePoint now);
+  void apply_peer_starts(net::TimePoint now);
   /// Callers whose connection is idle come back by a new one.
   void close_idle_sessions();
   /// Gives the tokens held ahead to the homes that come after this one, beside the stop itself.
@@ -55,8 +55,8 @@
   net::asio::io_context& context_;
   NodeState state_;
   StoreFeeds feeds_;
-  EnginePicture engine_picture_;
-  ReachWatch reach_watch_;
+  EngineStateUpdater engine_state_updater_;
+  ReachabilityMonitor reachability_monitor_;
   net::asio::ip::tcp::acceptor acceptor_;
   net::TextServer readiness_;
   net::TextServer peer_server_;
--- a/src/serving/gateway_metrics.cpp
+++ b/src/serving/gateway_metrics.cpp
@@ -124,7 +124,7 @@
 }
 
 void GatewayMetrics::tenant_request(const std::string& tenant, const quota::Admission& admission) {
-  const bool named = named_tenants_.size() < kMostTenants || named_tenants_.count(tenant) > 0;
+  const bool named = named_tenants_.size() < kMaxNamedTenants || named_tenants_.count(tenant) > 0;
   if (named) named_tenants_.insert(tenant);
   const auto* refused = admission.within_limit ? "refused_inside" : "beyond";
   const auto* limit = admission.admitted ? "within" : refused;
--- a/src/serving/gateway_metrics.hpp
+++ b/src/serving/gateway_metrics.hpp
@@ -77,7 +77,7 @@
   prometheus::Family<prometheus::Counter>* tenant_requests_;
   /// Tenants with figures of their own; the others are counted together, so that neither the page
   /// nor memory grows with the configuration.
-  static constexpr std::size_t kMostTenants = 200;
+  static constexpr std::size_t kMaxNamedTenants = 200;
   std::set<std::string> named_tenants_;
   prometheus::Family<prometheus::Counter>* store_calls_;
   prometheus::Family<prometheus::Counter>* rows_written_;
--- a/src/serving/node_state.hpp
+++ b/src/serving/node_state.hpp
@@ -89,7 +89,7 @@
       }
     }
     message.__isset.failures = !message.failures.empty();
-    if (settings.mechanisms.speeds) tell_speeds(message, now);
+    if (settings.mechanisms.speeds) add_engine_speeds(message, now);
     const auto tenants = quotas.told(now);
     if (!tenants.empty()) message.__set_tenants(tenants);
     const auto prompts = prompt_demand.told(now);
@@ -99,27 +99,28 @@
     if (readiness.steps_aside()) message.__set_steps_aside(true);
     message.__set_sent_ms(std::chrono::duration_cast<net::Millis>(now.time_since_epoch()).count());
     const auto uptime = std::chrono::duration_cast<net::Millis>(now - started_at);
-    if (uptime < kToldUptime) message.__set_uptime_ms(static_cast<std::int32_t>(uptime.count()));
+    if (uptime < kMaxReportedUptime)
+      message.__set_uptime_ms(static_cast<std::int32_t>(uptime.count()));
     const auto silent = peers.silent_processes_to_relay(
-        now, beacons.silence_limit(), settings.quota_bounds.window, silent_turn++);
+        now, beacons.silence_limit(), settings.quota_bounds.window, silent_relay_offset++);
     if (!silent.empty()) message.__set_silent(silent);
     return message;
   }
 
   /// Notices a standstill of this process; called at least every 0.1 s or so, and before decisions
   /// on who is lost.
-  void note_running(net::TimePoint now) {
-    if (stalls.stalled(now, kLongestUpkeep)) {
+  void detect_stall(net::TimePoint now) {
+    if (stalls.stalled(now, kMaxMaintenanceGap)) {
       const auto since = stalls.ticked_at();
       peers.note_stall(since, now, beacons.silence_limit());
       log.event("stood_still")
           .with("for_ms", std::chrono::duration_cast<net::Millis>(now - since).count());
     }
-    stalls.tick(now, kLongestUpkeep);
+    stalls.tick(now, kMaxMaintenanceGap);
   }
 
   /// Speeds of the engines that this node used of late.
-  void tell_speeds(wire::Beacon& message, net::TimePoint now) const {
+  void add_engine_speeds(wire::Beacon& message, net::TimePoint now) const {
     for (const auto& engine : engines.all()) {
       const auto figure = engine->own_speed.figure(now);
       if (figure.samples == 0) continue;
@@ -132,10 +133,10 @@
 
   /// Starts that lie longer ago are not told to peers: all that the process forgot by its start has
   /// left every window by then.
-  static constexpr net::Millis kToldUptime{60'000};
+  static constexpr net::Millis kMaxReportedUptime{60'000};
 
   /// Upkeep runs every 0.1 s: one that is so late means that the process stood still.
-  static constexpr net::Millis kLongestUpkeep{600};
+  static constexpr net::Millis kMaxMaintenanceGap{600};
 
   net::asio::io_context& context;
   NodeSettings settings;
@@ -163,7 +164,7 @@
   readiness::ReadinessTracker readiness;  ///< always ready without its mechanism
   GatewayMetrics metrics;
   base::Random random;
-  std::size_t silent_turn = 0;  ///< of lost processes that beacons pass on
+  std::size_t silent_relay_offset = 0;  ///< of lost processes that beacons pass on
   admission::ProgramAdmission admission;
   HeldTurns held_turns;
   CallerPatience caller_patience;
--- a/src/serving/reach_watch.cpp
+++ b/src/serving/reach_watch.cpp
@@ -10,22 +10,22 @@
 
 /// Other zones are heard several times a second: after this silence the store is asked as well, so
 /// that both are known when a decision is due.
-constexpr net::Millis kSilenceToVerify{400};
+constexpr net::Millis kSilenceBeforeStoreCheck{400};
 /// A connection to another zone that takes longer would not serve callers in time either.
-constexpr net::Millis kZoneTryTime{250};
+constexpr net::Millis kZoneProbeTimeout{250};
 
 }  // namespace
 
-void ReachWatch::maintain(net::TimePoint now) {
+void ReachabilityMonitor::maintain(net::TimePoint now) {
   if (!state_.settings.mechanisms.readiness) return;
-  take_readiness(now);
-  take_zone_reach(now);
+  update_readiness(now);
+  update_zone_reachability(now);
 }
 
-void ReachWatch::take_readiness(net::TimePoint now) {
+void ReachabilityMonitor::update_readiness(net::TimePoint now) {
   auto view = readiness::build_readiness_view(state_.peers, now, state_.beacons.silence_limit());
   const auto& others = readiness::elsewhere(view);
-  if (others.known > 0 && others.last_heard_age >= kSilenceToVerify) state_.store.verify();
+  if (others.known > 0 && others.last_heard_age >= kSilenceBeforeStoreCheck) state_.store.verify();
   const auto& reachability = state_.store.reachability();
   view.store_failures = reachability.failures_in_a_row();
   view.store_unanswered = reachability.unanswered(now);
@@ -35,13 +35,14 @@
     state_.metrics.set_steps_aside(tracker.steps_aside());
     idle_closed_ = false;
   }
-  const bool noticed = tracker.time_aside(now) >= readiness::kLoadBalancerDetectionTime;
-  if (!noticed || idle_closed_ || state_.stopping) return;
+  const bool load_balancer_noticed =
+      tracker.time_aside(now) >= readiness::kLoadBalancerDetectionTime;
+  if (!load_balancer_noticed || idle_closed_ || state_.stopping) return;
   idle_closed_ = true;
   close_idle_connections_();
 }
 
-void ReachWatch::log_readiness(const readiness::ReadinessView& view) {
+void ReachabilityMonitor::log_readiness(const readiness::ReadinessView& view) {
   const auto& tracker = state_.readiness;
   state_.log.event(tracker.steps_aside() ? "steps_aside" : "takes_callers_again")
       .with("why", readiness::name_of(tracker.latest().reason))
@@ -57,37 +58,37 @@
       .with("others_news_ms", view.other_zones.last_heard_age.count());
 }
 
-net::asio::awaitable<void> ReachWatch::try_zone(balancing::EnginePointer engine) {
+net::asio::awaitable<void> ReachabilityMonitor::probe_zone(balancing::EnginePointer engine) {
   net::beast::tcp_stream stream(state_.context);
-  stream.expires_after(kZoneTryTime);
+  stream.expires_after(kZoneProbeTimeout);
   net::Error error;
   co_await stream.async_connect(engine->record.endpoint, net::awaiting(error));
-  if (!error) zone_reach_.record_contact(engine->record.zone, net::Clock::now());
+  if (!error) zone_reachability_.record_contact(engine->record.zone, net::Clock::now());
 }
 
-void ReachWatch::take_zone_reach(net::TimePoint now) {
+void ReachabilityMonitor::update_zone_reachability(net::TimePoint now) {
   for (const auto& [zone, at] : readiness::last_heard_by_zone(state_.peers)) {
-    zone_reach_.record_contact(zone, at);
+    zone_reachability_.record_contact(zone, at);
   }
   std::map<std::string, std::vector<balancing::EnginePointer>> elsewhere;
   for (const auto& engine : state_.engines.all()) {
     const auto& zone = engine->record.zone;
     if (zone == state_.settings.zone) continue;
     if (engine->answered_at != net::TimePoint{})
-      zone_reach_.record_contact(zone, engine->answered_at);
+      zone_reachability_.record_contact(zone, engine->answered_at);
     elsewhere[zone].push_back(engine);
   }
-  for (const auto& [zone, engines] : elsewhere) use_zone(zone, engines, now);
+  for (const auto& [zone, engines] : elsewhere) update_zone(zone, engines, now);
 }
 
-void ReachWatch::use_zone(const std::string& zone,
-                          const std::vector<balancing::EnginePointer>& engines,
-                          net::TimePoint now) {
-  if (zone_reach_.should_probe(zone, now)) {
+void ReachabilityMonitor::update_zone(const std::string& zone,
+                                      const std::vector<balancing::EnginePointer>& engines,
+                                      net::TimePoint now) {
+  if (zone_reachability_.should_probe(zone, now)) {
     const auto chosen = state_.random.below(engines.size());
-    net::asio::co_spawn(state_.context, try_zone(engines[chosen]), net::asio::detached);
+    net::asio::co_spawn(state_.context, probe_zone(engines[chosen]), net::asio::detached);
   }
-  const bool silent = !zone_reach_.reachable(zone, now);
+  const bool silent = !zone_reachability_.reachable(zone, now);
   bool changed = false;
   for (const auto& engine : engines) {
     changed = changed || engine->zone_silent != silent;
@@ -98,7 +99,7 @@
   state_.log.event(silent ? "zone_silent" : "zone_heard")
       .with("zone", zone)
       .with("engines", engines.size())
-      .with("silent_ms", zone_reach_.silent_for(zone, now).count());
+      .with("silent_ms", zone_reachability_.silent_for(zone, now).count());
 }
 
 }  // namespace sailgate::serving
--- a/src/serving/reach_watch.hpp
+++ b/src/serving/reach_watch.hpp
@@ -11,10 +11,10 @@
 namespace sailgate::serving {
 
 /// Keeps up whether this node steps aside, and which zones' engines come last. Not thread-safe.
-class ReachWatch {
+class ReachabilityMonitor {
  public:
   /// @param close_idle_connections makes callers whose connection is idle come back by a new one.
-  ReachWatch(NodeState& state, std::function<void()> close_idle_connections)
+  ReachabilityMonitor(NodeState& state, std::function<void()> close_idle_connections)
       : state_(state), close_idle_connections_(std::move(close_idle_connections)) {}
 
   /// Called every 0.1 s or so.
@@ -22,19 +22,19 @@
 
  private:
   /// Decides whether callers are sent elsewhere.
-  void take_readiness(net::TimePoint now);
+  void update_readiness(net::TimePoint now);
   void log_readiness(const readiness::ReadinessView& view);
   /// Puts the engines of zones that are not heard last.
-  void take_zone_reach(net::TimePoint now);
+  void update_zone_reachability(net::TimePoint now);
   /// Puts the engines of one other zone last, or not.
-  void use_zone(const std::string& zone, const std::vector<balancing::EnginePointer>& engines,
-                net::TimePoint now);
+  void update_zone(const std::string& zone, const std::vector<balancing::EnginePointer>& engines,
+                   net::TimePoint now);
   /// Tries a connection to an engine of a silent zone.
-  net::asio::awaitable<void> try_zone(balancing::EnginePointer engine);
+  net::asio::awaitable<void> probe_zone(balancing::EnginePointer engine);
 
   NodeState& state_;
   std::function<void()> close_idle_connections_;
-  balancing::ZoneReachability zone_reach_;
+  balancing::ZoneReachability zone_reachability_;
   bool idle_closed_ = false;  ///< since this node steps aside
 };
 
--- a/src/serving/settings_reloader.cpp
+++ b/src/serving/settings_reloader.cpp
@@ -9,7 +9,7 @@
 
 constexpr net::Millis kWatchInterval{1000};
 
-std::string joined(const std::vector<std::string>& names) {
+std::string join_names(const std::vector<std::string>& names) {
   std::string text;
   for (const auto& name : names) {
     if (!text.empty()) text += ',';
@@ -22,8 +22,8 @@
 
 SettingsChange compare_settings(const NodeSettings& before, const NodeSettings& after) {
   SettingsChange change;
-  if (before.store != after.store) change.taken.emplace_back("store");
-  if (before.stop_grace != after.stop_grace) change.taken.emplace_back("stop_grace");
+  if (before.store != after.store) change.applied.emplace_back("store");
+  if (before.stop_grace != after.stop_grace) change.applied.emplace_back("stop_grace");
   if (before.node != after.node) change.need_restart.emplace_back("node");
   if (before.zone != after.zone) change.need_restart.emplace_back("zone");
   if (before.callers != after.callers) change.need_restart.emplace_back("callers");
@@ -43,10 +43,10 @@
       source_(std::move(source)),
       current_(std::move(current)),
       apply_(std::move(apply)) {
-  written_since();
+  file_modified();
 }
 
-bool SettingsReloader::written_since() {
+bool SettingsReloader::file_modified() {
   try {
     const auto before = std::exchange(modified_at_, source_.modified_at());
     return modified_at_ != before;
@@ -55,34 +55,34 @@
   }
 }
 
-void SettingsReloader::note_unreadable(const char* cause, const std::exception& error) {
+void SettingsReloader::log_unreadable(const char* cause, const std::exception& error) {
   log_.event("settings_unreadable").with("cause", cause).with("why", error.what());
 }
 
 void SettingsReloader::reload(const char* cause) {
-  written_since();  // what is read now need not be read again for having been written
+  file_modified();  // what is read now need not be read again for having been written
   try {
     auto settings = source_.read();
     const auto change = compare_settings(current_, settings);
     log_.event("settings_reloaded")
         .with("cause", cause)
-        .with("taken", joined(change.taken))
-        .with("need_restart", joined(change.need_restart));
-    if (!change.taken.empty()) apply_(settings);
+        .with("taken", join_names(change.applied))
+        .with("need_restart", join_names(change.need_restart));
+    if (!change.applied.empty()) apply_(settings);
     current_ = std::move(settings);
   } catch (const std::exception& error) {
-    note_unreadable(cause, error);
+    log_unreadable(cause, error);
   }
 }
 
-void SettingsReloader::reload_if_written() {
-  if (written_since()) reload("written");
+void SettingsReloader::reload_if_modified() {
+  if (file_modified()) reload("written");
 }
 
 net::asio::awaitable<void> SettingsReloader::watch() {
   while (true) {
     co_await net::sleep_for(context_, kWatchInterval);
-    reload_if_written();
+    reload_if_modified();
   }
 }
 
--- a/src/serving/settings_reloader.hpp
+++ b/src/serving/settings_reloader.hpp
@@ -14,7 +14,7 @@
 
 /// Names of the settings in which two versions differ.
 struct SettingsChange {
-  std::vector<std::string> taken;         ///< hold from now on
+  std::vector<std::string> applied;       ///< hold from now on
   std::vector<std::string> need_restart;  ///< identity and own addresses: hold for a process's life
 };
 
@@ -41,12 +41,12 @@
   /// Looks for a written file now and then, for as long as the event loop runs.
   net::asio::awaitable<void> watch();
   /// Reloads when the file was written since it was last looked at.
-  void reload_if_written();
+  void reload_if_modified();
 
  private:
   /// Whether the file was written since the last look.
-  bool written_since();
-  void note_unreadable(const char* cause, const std::exception& error);
+  bool file_modified();
+  void log_unreadable(const char* cause, const std::exception& error);
 
   net::asio::io_context& context_;
   observe::StructuredLog& log_;
--- a/src/serving/store_feeds.cpp
+++ b/src/serving/store_feeds.cpp
@@ -10,14 +10,14 @@
 
 constexpr const char* kPeerTable = "nodes";
 constexpr net::Millis kStoreTimeout{700};
-constexpr net::Millis kRegisterPause{300};
+constexpr net::Millis kRegisterRetryDelay{300};
 /// Changes of engines and the configuration are fetched together within this time: engines register
 /// within a few seconds, and without it each of 295 nodes made a call for almost every entry. It is
 /// a small part of the seconds in which a leaving engine or a configuration must be noticed.
-constexpr net::Millis kGatherTime{250};
+constexpr net::Millis kBatchTime{250};
 /// Nodes that come back anew are wanted sooner: until their row is known their beacons say nothing,
 /// and what was reserved at them counts as used.
-constexpr net::Millis kPeerGatherTime{40};
+constexpr net::Millis kPeerBatchTime{40};
 
 }  // namespace
 
@@ -27,11 +27,11 @@
       entries_(state, records),
       incarnation_(incarnation),
       configuration_follower_(state.context, state.store, state.log, records.configuration_table(),
-                              configuration_callbacks(), kGatherTime),
+                              configuration_callbacks(), kBatchTime),
       engine_follower_(state.context, state.store, state.log, records.engine_table(),
-                       engine_callbacks(), kGatherTime),
+                       engine_callbacks(), kBatchTime),
       peer_follower_(state.context, state.store, state.log, kPeerTable, peer_callbacks(),
-                     kPeerGatherTime) {}
+                     kPeerBatchTime) {}
 
 void StoreFeeds::start() {
   net::asio::co_spawn(state_.context, configuration_follower_.run(), net::asio::detached);
@@ -59,7 +59,7 @@
     transaction.puts.push_back(row);
     const auto result = co_await state_.store.transact(std::move(transaction), kStoreTimeout);
     if (result.status == store::StoreStatus::kDone) co_return;
-    co_await net::sleep_for(state_.context, kRegisterPause);
+    co_await net::sleep_for(state_.context, kRegisterRetryDelay);
   }
 }
 
@@ -72,15 +72,15 @@
 store::FollowerCallbacks StoreFeeds::peer_callbacks() {
   store::FollowerCallbacks callbacks;
   callbacks.on_whole = [this](const std::vector<store::Row>& rows) {
-    for (const auto& row : rows) take_peer(row);
+    for (const auto& row : rows) apply_peer_row(row);
     state_.peers.mark_complete();
   };
-  callbacks.on_change = [this](const store::Row& row) { take_peer(row); };
+  callbacks.on_change = [this](const store::Row& row) { apply_peer_row(row); };
   callbacks.on_contact = [](bool) {};
   return callbacks;
 }
 
-void StoreFeeds::take_peer(const store::Row& row) {
+void StoreFeeds::apply_peer_row(const store::Row& row) {
   if (row.removed) {
     state_.peers.remove(row.id.key);
     return;
@@ -92,7 +92,7 @@
   }
 }
 
-void StoreFeeds::note_contact(bool reached) {
+void StoreFeeds::record_contact(bool reached) {
   if (reached) {
     last_contact_ = net::Clock::now();
   } else {
@@ -103,26 +103,26 @@
 store::FollowerCallbacks StoreFeeds::configuration_callbacks() {
   store::FollowerCallbacks callbacks;
   callbacks.on_whole = [this](const std::vector<store::Row>& rows) {
-    for (const auto& row : rows) take_configuration(row);
+    for (const auto& row : rows) apply_configuration(row);
   };
-  callbacks.on_change = [this](const store::Row& row) { take_configuration(row); };
-  callbacks.on_contact = [this](bool reached) { note_contact(reached); };
+  callbacks.on_change = [this](const store::Row& row) { apply_configuration(row); };
+  callbacks.on_contact = [this](bool reached) { record_contact(reached); };
   return callbacks;
 }
 
 store::FollowerCallbacks StoreFeeds::engine_callbacks() {
   store::FollowerCallbacks callbacks;
   callbacks.on_whole = [this](const std::vector<store::Row>& rows) {
-    entries_.take_whole(rows, engine_follower_.entries_may_return(net::Clock::now()));
+    entries_.apply_snapshot(rows, engine_follower_.entries_may_return(net::Clock::now()));
   };
   callbacks.on_change = [this](const store::Row& row) {
-    entries_.take_change(row, engine_follower_.entries_may_return(net::Clock::now()));
+    entries_.apply_change(row, engine_follower_.entries_may_return(net::Clock::now()));
   };
-  callbacks.on_contact = [this](bool reached) { note_contact(reached); };
+  callbacks.on_contact = [this](bool reached) { record_contact(reached); };
   return callbacks;
 }
 
-void StoreFeeds::take_configuration(const store::Row& row) {
+void StoreFeeds::apply_configuration(const store::Row& row) {
   if (row.id.key != records_.configuration_key() || row.removed) return;
   try {
     auto configuration = records_.decode_configuration(row.value);
--- a/src/serving/store_feeds.hpp
+++ b/src/serving/store_feeds.hpp
@@ -26,9 +26,9 @@
 
  private:
   net::asio::awaitable<void> register_self();
-  void take_configuration(const store::Row& row);
-  void take_peer(const store::Row& row);
-  void note_contact(bool reached);
+  void apply_configuration(const store::Row& row);
+  void apply_peer_row(const store::Row& row);
+  void record_contact(bool reached);
   /// Answers of the store that are older than what some node has seen are not taken over.
   void share_store_version();
   store::FollowerCallbacks configuration_callbacks();
--- a/tests/serving/engine_entries_test.cpp
+++ b/tests/serving/engine_entries_test.cpp
@@ -74,19 +74,19 @@
   for (const auto& foreign : kForeign) {
     CAPTURE(foreign);
     const bool whole = GENERATE(true, false);
-    entries.take_whole({row("a", entry()), row("b", entry())}, false);
+    entries.apply_snapshot({row("a", entry()), row("b", entry())}, false);
     REQUIRE(usable("b"));
     if (whole) {
-      entries.take_whole({row("a", entry()), row("b", foreign), row("c", foreign)}, false);
+      entries.apply_snapshot({row("a", entry()), row("b", foreign), row("c", foreign)}, false);
     } else {
-      entries.take_change(row("b", foreign), false);
-      entries.take_change(row("c", foreign), false);
+      entries.apply_change(row("b", foreign), false);
+      entries.apply_change(row("c", foreign), false);
     }
     REQUIRE(usable("a"));
     REQUIRE_FALSE(usable("b"));
     REQUIRE_FALSE(usable("c"));
     // The next good entry brings it back at once.
-    entries.take_change(row("b", entry()), false);
+    entries.apply_change(row("b", entry()), false);
     REQUIRE(usable("b"));
   }
 }
@@ -95,14 +95,14 @@
                  "[serving]") {
   EngineEntries entries(state(), records);
   REQUIRE(rc::check([&] {
-    entries.take_whole({row("a", entry()), row("b", entry(started(1)))}, false);
+    entries.apply_snapshot({row("a", entry()), row("b", entry(started(1)))}, false);
     const auto bytes = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
     auto cut = entry(started(7));
     cut.resize(*rc::gen::inRange<std::size_t>(0, cut.size()));
-    entries.take_change(row("b", *rc::gen::element(bytes, cut)), false);
+    entries.apply_change(row("b", *rc::gen::element(bytes, cut)), false);
     RC_ASSERT(usable("a"));
     RC_ASSERT(!usable("b"));
-    entries.take_whole({row("b", bytes), row("a", entry()), row("c", cut)}, false);
+    entries.apply_snapshot({row("b", bytes), row("a", entry()), row("c", cut)}, false);
     RC_ASSERT(usable("a"));
     RC_ASSERT(!usable("b"));
     RC_ASSERT(!usable("c"));
@@ -115,39 +115,40 @@
   std::vector<store::Row> rows;
   for (int i = 0; i < 8; ++i) rows.push_back(row("e" + std::to_string(i), entry(started(i))));
   rows.push_back(row("odd", entry()));
-  entries.take_whole(rows, false);
+  entries.apply_snapshot(rows, false);
   REQUIRE(usable("e0"));
   REQUIRE_FALSE(usable("odd"));
-  entries.take_change(row("odd", entry()), false);
+  entries.apply_change(row("odd", entry()), false);
   REQUIRE_FALSE(usable("odd"));
-  entries.take_change(row("odd", entry(started(3))), false);
+  entries.apply_change(row("odd", entry(started(3))), false);
   REQUIRE(usable("odd"));
 }
 
 TEST_CASE_METHOD(EntriesFixture, "where engines tell no starts one that does takes none out of use",
                  "[serving]") {
   EngineEntries entries(state(), records);
-  entries.take_whole({row("a", entry()), row("b", entry()), row("c", entry(started(1)))}, false);
+  entries.apply_snapshot({row("a", entry()), row("b", entry()), row("c", entry(started(1)))},
+                         false);
   REQUIRE(usable("a"));
   REQUIRE(usable("b"));
   REQUIRE(usable("c"));
-  entries.take_change(row("a", entry()), false);
+  entries.apply_change(row("a", entry()), false);
   REQUIRE(usable("a"));
 }
 
 TEST_CASE_METHOD(EntriesFixture, "a restart between two entries is noticed without its removal",
                  "[serving]") {
   EngineEntries entries(state(), records);
-  entries.take_whole({row("a", entry(started(1000)))}, false);
+  entries.apply_snapshot({row("a", entry(started(1000)))}, false);
   const auto before = state().engines.at("a");
   const bool lapsed = GENERATE(true, false);
   if (lapsed) {
     auto gone = row("a", "");
     gone.removed = true;
-    entries.take_change(gone, true);
+    entries.apply_change(gone, true);
     REQUIRE(usable("a"));
   }
-  entries.take_change(row("a", entry(started(2000))), lapsed);
+  entries.apply_change(row("a", entry(started(2000))), lapsed);
   REQUIRE(state().engines.at("a") != before);
   REQUIRE(usable("a"));
   REQUIRE_FALSE(before->usable());
--- a/tests/serving/settings_reloader_test.cpp
+++ b/tests/serving/settings_reloader_test.cpp
@@ -47,11 +47,11 @@
 
 TEST_CASE_METHOD(Fixture, "a file that is written without a signal is read", "[settings]") {
   written.stop_grace = net::Millis(1234);
-  reloader.reload_if_written();
+  reloader.reload_if_modified();
   REQUIRE(applied.empty());
   modified_at = 2;
-  reloader.reload_if_written();
-  reloader.reload_if_written();
+  reloader.reload_if_modified();
+  reloader.reload_if_modified();
   REQUIRE(applied.size() == 1);
   REQUIRE(applied.front().stop_grace == net::Millis(1234));
 }
@@ -61,7 +61,7 @@
   written.stop_grace = net::Millis(1234);
   modified_at = 2;
   reloader.reload("signal");
-  reloader.reload_if_written();
+  reloader.reload_if_modified();
   REQUIRE(logged({"settings_reloaded"}) == 1);
 }
 
