--- a/src/serving/engine_connection_pool.cpp
+++ b/src/serving/engine_connection_pool.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// An engine that does not complete a handshake in this time is passed over.
+/// Timeout of the TCP handshake. After it the request goes to another engine.
 constexpr net::Millis kConnectTimeout{600};
 
 }  // namespace
--- a/src/serving/engine_connection_pool.hpp
+++ b/src/serving/engine_connection_pool.hpp
@@ -1,4 +1,7 @@
-/// @file Kept connections to engines. A new connection is dear, a stale one loses requests.
+/// @file Pool of idle connections to engines.
+///
+/// Opening a connection adds latency to a request; sending on one that the engine is about to close
+/// can lose the request.
 #pragma once
 
 #include <memory>
@@ -16,30 +19,31 @@
   explicit EngineConnection(net::asio::io_context& context) : stream(context) {}
   net::beast::tcp_stream stream;
   net::beast::flat_buffer buffer;
-  net::TimePoint usable_until{};  ///< while idle: the engine keeps it open this long
-  bool reused = false;
+  net::TimePoint usable_until{};  ///< while idle: until when the engine keeps it open
+  bool reused = false;            ///< taken from the pool rather than newly opened
 };
 
 using EngineConnectionPointer = std::shared_ptr<EngineConnection>;
 
-/// Idle connections by engine incarnation. Not thread-safe.
+/// Idle connections by engine run (see balancing::EngineRecord::id). Not thread-safe.
 class EngineConnectionPool {
  public:
   explicit EngineConnectionPool(net::asio::io_context& context) : context_(context) {}
 
-  /// A kept connection that is open and quiet, or a new one.
-  /// @return nullptr when the engine cannot be connected to before `deadline`.
+  /// Returns an idle connection that is still open and has no unread input, or opens a new one.
+  /// @return nullptr if no connection could be established before `deadline`.
   net::asio::awaitable<EngineConnectionPointer> acquire(const balancing::Engine& engine,
                                                         net::TimePoint deadline);
-  /// Keeps a connection whose last answer was read to its end.
+  /// Returns a connection to the pool. Its last response must have been read completely.
   void release(const balancing::Engine& engine, EngineConnectionPointer connection);
-  /// Closes the idle connections to an engine.
+  /// Closes all idle connections to an engine.
   void drop(const std::string& engine_id) { idle_.erase(engine_id); }
-  /// Closes idle connections whose time is over.
+  /// Closes idle connections whose `usable_until` has passed.
   void expire(net::TimePoint now);
 
-  /// Idle connections to an engine.
+  /// Number of idle connections to an engine.
   int idle(const std::string& engine_id) const;
+  /// Number of connection attempts since the start, successful or not.
   std::uint64_t opened() const { return opened_; }
 
  private:
--- a/src/serving/engine_entries.cpp
+++ b/src/serving/engine_entries.cpp
@@ -8,10 +8,11 @@
 
 using balancing::EntryFault;
 
-/// Where this share of the readable entries tells the start of its engine, one without is not an
-/// engine's. One telling entry would be too few: whoever writes it would take all engines of an
-/// older platform out of use. All of them would be too many: one entry without would do. While
-/// engines are upgraded in turn, a quarter of them at most is out of use.
+/// If at least this share of the decoded entries reports the start of its engine, an entry without
+/// one was not written by an engine and is invalid. Requiring only one reporting entry would be too
+/// few: its writer would take all engines of an older platform version out of use. Requiring all
+/// would be too many: a single entry without a start would disable the check. During a rolling
+/// upgrade of the engines, at most a quarter of them is out of use.
 constexpr double kMinReportingShare = 0.75;
 
 }  // namespace
@@ -42,7 +43,7 @@
 
 void EngineEntries::mark_unusable(const store::Row& row, EntryFault fault, const char* what) {
   const auto known = unusable_.find(row.id.key);
-  // One line for each time that an entry's fault changes: a writer may repeat itself for hours.
+  // Logged only when the fault of an entry changes: a writer may repeat the same entry for hours.
   if (known != unusable_.end() && known->second == fault) return;
   unusable_[row.id.key] = fault;
   state_.metrics.set_unusable_entries(unusable_.size());
@@ -83,7 +84,7 @@
   std::vector<balancing::EngineRecord> readable;
   std::vector<const store::Row*> sources;
   for (const auto& row : rows) {
-    // An entry that is unusable as before is not logged again.
+    // Carried over so that an entry whose fault is unchanged is not logged again.
     const auto known = before.find(row.id.key);
     if (known != before.end()) unusable_.insert(*known);
     if (auto record = read(row)) {
--- a/src/serving/engine_entries.hpp
+++ b/src/serving/engine_entries.hpp
@@ -1,7 +1,7 @@
-/// @file Takes the store's list of engines into the registry.
+/// @file Applies the store's list of engines to the registry.
 ///
-/// Others than engines may write into the list. An entry that names no engine to use takes its
-/// engine out of use until a usable one comes; all other entries hold.
+/// Processes other than engines can write to the list. An invalid entry suspends its engine until a
+/// valid entry for the same key arrives; all other entries remain in effect.
 #pragma once
 
 #include <optional>
@@ -16,29 +16,31 @@
 
 namespace sailgate::serving {
 
-/// Not thread-safe: belongs to the event loop.
+/// Validates the entries of the engine list. Not thread-safe: use only on the event loop.
 class EngineEntries {
  public:
   EngineEntries(NodeState& state, const PlatformRecords& records);
 
-  /// Takes the whole list. @param may_return entries that are gone may be so only because the store
-  /// was away.
+  /// Applies the complete list. @param may_reappear entries may be missing only because the store
+  /// was unavailable, so their engines are kept as stale.
   void apply_snapshot(const std::vector<store::Row>& rows, bool may_reappear);
-  /// Takes one entry, changed or gone.
+  /// Applies one changed or removed entry.
   void apply_change(const store::Row& row, bool may_reappear);
 
  private:
+  /// Decodes an entry. @return nullopt if it is invalid; this is recorded and logged.
   std::optional<balancing::EngineRecord> read(const store::Row& row);
   void apply_removal(const store::Row& row, bool may_reappear);
   void mark_unusable(const store::Row& row, balancing::EntryFault fault, const char* what);
   void mark_usable(const store::Row& row, const balancing::EngineRecord& record);
+  /// Whether enough valid entries report their engine's start that one without is invalid.
   bool starts_reported() const;
   void log_restart(const balancing::Engine& before, const balancing::EngineRecord& now);
 
   NodeState& state_;
   const PlatformRecords& records_;
-  std::unordered_map<std::string, balancing::EntryFault> unusable_;  ///< by the entry's key
-  std::unordered_map<std::string, bool> reports_start_;  ///< of readable entries, by their key
+  std::unordered_map<std::string, balancing::EntryFault> unusable_;  ///< by entry key
+  std::unordered_map<std::string, bool> reports_start_;  ///< of decoded entries, by entry key
 };
 
 }  // namespace sailgate::serving
--- a/src/serving/engine_picture.cpp
+++ b/src/serving/engine_picture.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-/// Engines of shared prompts are settled anew this often: within it all nodes hear what the others
-/// are asked for, and it is a small part of the window in which requests count.
+/// Interval between updates of the prompt placement. It is long enough for the request counts of
+/// all nodes to reach each other, and a small part of the window over which requests are counted.
 constexpr net::Millis kPlacementInterval{1000};
-/// Lines a service and time about prompts whose number of engines changed; each tells how many did.
+/// Maximum log lines per service and update about prompts whose number of engines changed. Each
+/// line contains the total number of changes.
 constexpr std::size_t kMaxReplicaLogLines = 4;
 
 constexpr double kPermille = 1000;
--- a/src/serving/engine_picture.hpp
+++ b/src/serving/engine_picture.hpp
@@ -1,4 +1,4 @@
-/// @file Engines as all nodes together see them.
+/// @file Combines the observations of all nodes about the engines.
 #pragma once
 
 #include <vector>
@@ -7,24 +7,24 @@
 
 namespace sailgate::serving {
 
-/// Takes what the other nodes tell of engines over into the registry: their loads, failures and
-/// speeds, and which of them keep each shared prompt. Not thread-safe.
+/// Updates the registry from the peers' beacons: loads, failures and speeds of the engines. Also
+/// assigns the shared prompts to engines. Not thread-safe.
 class EngineStateUpdater {
  public:
   explicit EngineStateUpdater(NodeState& state) : state_(state) {}
 
-  /// Called every 0.1 s or so.
+  /// Must be called about every 0.1 s.
   void maintain(net::TimePoint now);
 
  private:
   void update_loads(net::TimePoint now);
-  /// Leaves engines that fail for many nodes to one node of each zone.
+  /// Restricts probing of engines that fail for several nodes to one node per zone.
   void update_failures(net::TimePoint now);
-  /// Takes over how fast engines are, as this node's exchanges and the other nodes tell.
+  /// Updates the speed estimates from this node's exchanges and the peers' reports.
   void update_speeds(net::TimePoint now);
   void log_speed(balancing::Engine& engine, const balancing::SpeedReport& reported,
                  net::TimePoint now);
-  /// Settles which engines keep each shared prompt, from what all nodes are asked for.
+  /// Assigns the shared prompts to engines by the requests of all nodes.
   void update_prompt_placement(net::TimePoint now);
   void log_replica_changes(const routing::Service& service, double prompt_tokens,
                            const std::vector<balancing::ReplicaCountChange>& changes);
--- a/src/serving/gateway.cpp
+++ b/src/serving/gateway.cpp
@@ -11,22 +11,22 @@
 namespace {
 
 constexpr net::Millis kMaintenanceInterval{100};
-/// Without the readiness mechanism: a node that has not reached the store for this long asks
-/// callers to go elsewhere.
+/// Without the readiness mechanism, a node reports itself as not ready after it has not reached the
+/// store for this long.
 constexpr net::Millis kMaxStoreSilence{3500};
-/// The listener stays open so much longer than the entry needs to notice that this node stops:
-/// connections that were opened until then still arrive.
+/// On shutdown the listener stays open this long after the load balancer's detection time, because
+/// connections opened until then still arrive.
 constexpr net::Millis kLateConnectionTime{1000};
-/// A planned stop ends this long before it would be forced.
+/// A graceful shutdown ends this long before the process would be killed.
 constexpr net::Millis kStopMargin{700};
 constexpr net::Millis kStopPollInterval{50};
-/// The other nodes hear within this time that this one is no home any more.
+/// Time in which the other nodes learn that this one is no longer the home of any program.
 constexpr net::Millis kHomeChangeNotice{300};
-/// Longest that tokens are given back at once.
+/// Timeout of each of the two steps that release tokens on shutdown.
 constexpr net::Millis kReleaseTimeout{800};
 constexpr net::Millis kAcceptRetryDelay{20};
-/// An owner of programs that was not heard of for so long is taken to be lost: its escrow with it,
-/// so a pause of its process should not be enough.
+/// Minimum silence after which the owner of a program shard counts as lost. Its escrow is lost with
+/// it, so a short pause of its process must not suffice.
 constexpr net::Millis kOwnerLossTimeout{2000};
 
 }  // namespace
@@ -60,7 +60,7 @@
   try {
     metrics_ = std::make_unique<net::TextServer>(context_, endpoint, answer);
   } catch (const std::exception& error) {
-    // A node without metrics serves callers all the same.
+    // Metrics are optional: the node serves callers without them.
     state_.log.event("metrics_unavailable")
         .with("address", net::format_endpoint(endpoint))
         .with("why", error.what());
@@ -221,7 +221,8 @@
   while (state_.active_requests > 0 && net::Clock::now() < limit) {
     co_await net::sleep_for(context_, kStopPollInterval);
   }
-  // NOTE: nothing may be awaited from here on: idle connections would take requests that get cut.
+  // NOTE: do not suspend from here on: idle connections could accept requests that would then be
+  // aborted.
   close_idle_sessions();
   state_.log.event("stopped").with("active_requests", state_.active_requests);
   state_.log.flush();
--- a/src/serving/gateway.hpp
+++ b/src/serving/gateway.hpp
@@ -1,4 +1,4 @@
-/// @file A serving node: listens for callers, follows the store, stops when told to.
+/// @file A serving node: accepts callers, follows the store and shuts down gracefully.
 #pragma once
 
 #include <memory>
@@ -13,23 +13,26 @@
 
 namespace sailgate::serving {
 
-/// Everything runs on the given event loop. Steps of a planned stop:
-///  1. readiness says no, answers say "Connection: close";
-///  2. after the entry had time to notice, the listener closes;
-///  3. idle connections close; when no request is left, or the grace is nearly over, it ends.
+/// Runs entirely on the given event loop. Steps of a graceful shutdown:
+///  1. Readiness probes fail and responses carry "Connection: close".
+///  2. Once the load balancer has had time to detect this, the listener closes.
+///  3. When no request is active or the grace period is nearly over, idle connections close and the
+///     event loop ends.
 class Gateway {
  public:
+  /// Starts listening. @throws boost::system::system_error if the address for callers, readiness or
+  /// peers is not available.
   Gateway(net::asio::io_context& context, NodeSettings settings, const EdgeProtocol& protocol,
           const PlatformRecords& records, store::TableStore& store, observe::StructuredLog& log,
           std::int64_t incarnation);
 
-  /// Starts listening and following. @throws boost::system::system_error on an address in use.
+  /// Starts accepting callers and following the store.
   void start();
-  /// Takes over the settings that can change while the node runs.
+  /// Applies the settings that can change while the node runs.
   void apply(const NodeSettings& settings) { state_.settings.stop_grace = settings.stop_grace; }
-  /// Begins a planned stop; the event loop ends when it is over.
+  /// Starts a graceful shutdown, at the end of which the event loop stops.
   void stop();
-  /// Whether new callers may be sent here.
+  /// Whether readiness probes succeed, so that the load balancer sends callers here.
   bool ready() const;
 
   NodeState& state() { return state_; }
@@ -40,13 +43,14 @@
   net::asio::awaitable<void> serve(std::shared_ptr<CallerSession> session);
   net::asio::awaitable<void> maintain();
   net::asio::awaitable<void> finish_stop();
-  /// Programs that the other nodes let begin.
+  /// Passes the program starts reported by peers to the admission control.
   void apply_peer_starts(net::TimePoint now);
-  /// Callers whose connection is idle come back by a new one.
+  /// Makes callers with idle connections reconnect.
   void close_idle_sessions();
-  /// Gives the tokens held ahead to the homes that come after this one, beside the stop itself.
+  /// Releases this node's escrow shards and reserved tokens for the nodes that take over its
+  /// programs. Runs concurrently with the rest of the shutdown.
   net::asio::awaitable<void> release_tokens();
-  /// What the claims on shards of programs depend on.
+  /// Peer information on which the claims of program shards depend.
   ledger::EscrowPeers escrow_peers();
   net::TextResponse answer_readiness(const net::TextRequest& request) const;
   net::TextResponse answer_metrics() const;
--- a/src/serving/gateway_metrics.hpp
+++ b/src/serving/gateway_metrics.hpp
@@ -1,4 +1,4 @@
-/// @file Counters and latency histograms of a serving node; listed in docs/OPERATIONS.md.
+/// @file Prometheus metrics of a serving node, documented in docs/OPERATIONS.md.
 #pragma once
 
 #include <prometheus/counter.h>
@@ -21,43 +21,47 @@
  public:
   GatewayMetrics();
 
-  /// A request ended. @param outcome stable name of how, as in the log.
+  /// Counts a finished request. @param outcome stable name of the outcome, as in the log.
   void request_ended(const std::string& outcome, net::Millis duration);
-  /// A tenant's request was let through, or refused at its limit.
+  /// Counts a tenant's request, admitted or refused by its rate limit.
   void tenant_request(const std::string& tenant, const quota::Admission& admission);
-  /// A program was let begin, or refused for the load of its service.
+  /// Counts a new program, admitted or refused because of the load of its service.
   void program_decided(admission::Refusal refusal, int rank);
+  /// Records the time from a request to its first event.
   void first_event(net::Millis after);
-  /// A call of the table store ended, a relayed one for a peer included.
+  /// Counts a finished call to the table store, including calls relayed for peers.
   void store_call_ended(store::StoreCall call, store::StoreStatus status);
-  /// A transaction changed rows of a table.
+  /// Counts the rows of one table that a transaction changed.
   void rows_changed(const store::RowsChanged& changed);
   void set_store_full(bool full) { store_full_->Set(full ? 1 : 0); }
   void store_lost() { store_losses_->Increment(); }
-  /// A turn that waited for the store began, was refused or lost its caller.
+  /// Records the end of a wait for the store: the turn started, was refused or its caller left.
+  /// @param how stable name of the outcome.
   void held_turn_ended(const std::string& how, net::Millis waited);
   void set_engines(std::size_t count) { engines_->Set(static_cast<double>(count)); }
-  /// An engine started again under its name.
+  /// Counts a restart of an engine under the same name.
   void engine_restarted() { engine_restarts_->Increment(); }
-  /// Entries of the list of engines that name no engine to use.
+  /// Sets the number of invalid entries in the engine list.
   void set_unusable_entries(std::size_t count) {
     unusable_entries_->Set(static_cast<double>(count));
   }
-  /// Believed speeds over the usual one of the service.
+  /// Sets the lowest and highest estimated speed, relative to the service's normal speed.
   void set_engine_speeds(double slowest, double fastest) {
     slowest_engine_->Set(slowest);
     fastest_engine_->Set(fastest);
   }
-  /// Shards of programs that this node owns, with an escrow to spend and without.
+  /// Sets the numbers of program shards that this node owns with an escrow it may spend and
+  /// without.
   void set_escrow_shards(std::size_t spendable, std::size_t bare) {
     escrow_shards_->Set(static_cast<double>(spendable));
     bare_shards_->Set(static_cast<double>(bare));
   }
-  /// Reservations that this node holds for turns that other nodes run.
+  /// Sets the number of token reservations that this node holds for turns run by other nodes.
   void set_open_reservations(std::size_t count) {
     open_reservations_->Set(static_cast<double>(count));
   }
-  /// Shared prompts that have engines of their own, and the sum of these engines over the prompts.
+  /// Sets the number of shared prompts that are assigned to engines, and the number of assigned
+  /// (prompt, engine) pairs.
   void set_prompts(std::size_t count, std::size_t engines) {
     prompts_->Set(static_cast<double>(count));
     prompt_engines_->Set(static_cast<double>(engines));
@@ -68,15 +72,15 @@
   }
   void set_dropped_log_lines(std::uint64_t count) { log_drops_->Set(static_cast<double>(count)); }
 
-  /// All figures in Prometheus' text format.
+  /// Returns all metrics in the Prometheus text format.
   std::string text() const;
 
  private:
   std::shared_ptr<prometheus::Registry> registry_;
   prometheus::Family<prometheus::Counter>* requests_;
   prometheus::Family<prometheus::Counter>* tenant_requests_;
-  /// Tenants with figures of their own; the others are counted together, so that neither the page
-  /// nor memory grows with the configuration.
+  /// Limit of tenants with their own label value. Further tenants are counted together as "other",
+  /// so that neither the metrics page nor memory grows with the configuration.
   static constexpr std::size_t kMaxNamedTenants = 200;
   std::set<std::string> named_tenants_;
   prometheus::Family<prometheus::Counter>* store_calls_;
--- a/src/serving/node_settings.hpp
+++ b/src/serving/node_settings.hpp
@@ -1,4 +1,4 @@
-/// @file What a serving node needs to know before it starts.
+/// @file Settings of a serving node.
 #pragma once
 
 #include <optional>
@@ -14,12 +14,12 @@
 struct NodeSettings {
   std::string node;
   std::string zone;
-  net::Endpoint callers;    ///< where callers connect
-  net::Endpoint readiness;  ///< where readiness is asked for
-  net::Endpoint peers;      ///< where other nodes connect
-  std::optional<net::Endpoint> metrics;
-  net::Endpoint store;
-  net::Millis stop_grace{8000};  ///< a stop is forced after this time
+  net::Endpoint callers;                 ///< listen address for callers
+  net::Endpoint readiness;               ///< listen address for readiness probes
+  net::Endpoint peers;                   ///< listen address for other nodes
+  std::optional<net::Endpoint> metrics;  ///< listen address for metrics; nullopt: not served
+  net::Endpoint store;                   ///< address of the table store
+  net::Millis stop_grace{8000};  ///< the process is killed this long after it was told to stop
   quota::Bounds quota_bounds;
   base::Mechanisms mechanisms;
 };
--- a/src/serving/node_state.hpp
+++ b/src/serving/node_state.hpp
@@ -1,4 +1,4 @@
-/// @file What all requests of a node share.
+/// @file State of a node that its requests and background tasks share.
 #pragma once
 
 #include <memory>
@@ -32,7 +32,7 @@
 
 namespace sailgate::serving {
 
-/// Owned by the gateway; lives as long as the event loop.
+/// Owned by the gateway. Not thread-safe: use only on the event loop.
 struct NodeState {
   NodeState(net::asio::io_context& loop, NodeSettings node_settings,
             const EdgeProtocol& edge_protocol, store::TableStore& table_store,
@@ -72,7 +72,7 @@
     beacons.set_urgent_check([this] { return quotas.report_due(); });
   }
 
-  /// What this node tells its peers.
+  /// Builds the message that this node sends to its peers periodically.
   wire::Beacon beacon(std::int64_t incarnation) {
     const auto now = net::Clock::now();
     wire::Beacon message;
@@ -107,8 +107,8 @@
     return message;
   }
 
-  /// Notices a standstill of this process; called at least every 0.1 s or so, and before decisions
-  /// on who is lost.
+  /// Detects that this process was stalled. Must be called about every 0.1 s, and before deciding
+  /// which peers are lost.
   void detect_stall(net::TimePoint now) {
     if (stalls.stalled(now, kMaxMaintenanceGap)) {
       const auto since = stalls.ticked_at();
@@ -119,7 +119,7 @@
     stalls.tick(now, kMaxMaintenanceGap);
   }
 
-  /// Speeds of the engines that this node used of late.
+  /// Adds the measured speeds of the engines that this node used recently.
   void add_engine_speeds(wire::Beacon& message, net::TimePoint now) const {
     for (const auto& engine : engines.all()) {
       const auto figure = engine->own_speed.figure(now);
@@ -131,11 +131,11 @@
     message.__isset.speeds = !message.speeds.empty();
   }
 
-  /// Starts that lie longer ago are not told to peers: all that the process forgot by its start has
+  /// Uptimes from this on are not sent to peers: the data that the process lost by its restart has
   /// left every window by then.
   static constexpr net::Millis kMaxReportedUptime{60'000};
 
-  /// Upkeep runs every 0.1 s: one that is so late means that the process stood still.
+  /// Maintenance runs every 0.1 s; a longer gap than this means that the process was stalled.
   static constexpr net::Millis kMaxMaintenanceGap{600};
 
   net::asio::io_context& context;
@@ -144,32 +144,32 @@
   observe::StructuredLog& log;
   std::shared_ptr<const routing::RouteTable> routes;  ///< nullptr before the first configuration
   balancing::EngineRegistry engines;
-  bool engines_known = false;
+  bool engines_known = false;  ///< the list of engines was read
   balancing::ExchangeTimes exchange_times;
   balancing::PromptDemand prompt_demand;
   std::map<std::string, balancing::PromptPlacement> prompt_placements;  ///< by service
-  std::int64_t newest_store_version = 0;  ///< seen by this node or a peer
+  std::int64_t newest_store_version = 0;  ///< highest version seen by this node or a peer
   EngineConnectionPool connections;
   net::TimePoint started_at = net::Clock::now();
   cluster::StallDetector stalls{started_at};
   cluster::PeerDirectory peers;
   cluster::TenantQuotas quotas;
   cluster::PeerClients peer_clients;
-  store::MeteredStore metered_store;  ///< this node's own calls, those for peers included
-  cluster::StoreRelay store;          ///< the table store, through a peer where need be
+  store::MeteredStore metered_store;  ///< direct calls, including those made for peers
+  cluster::StoreRelay store;          ///< the table store, through a peer if necessary
   ledger::ProgramLedger ledger;
   cluster::BeaconSender beacons;
   cluster::TurnCoordinator turns;
   ledger::ExpirySweeper sweeper;
-  readiness::ReadinessTracker readiness;  ///< always ready without its mechanism
+  readiness::ReadinessTracker readiness;  ///< always ready if the mechanism is off
   GatewayMetrics metrics;
   base::Random random;
-  std::size_t silent_relay_offset = 0;  ///< of lost processes that beacons pass on
+  std::size_t silent_relay_offset = 0;  ///< of the silent processes in the next beacon
   admission::ProgramAdmission admission;
   HeldTurns held_turns;
   CallerPatience caller_patience;
-  TurnTimes turn_times;         ///< of whole turns at engines
-  TurnTimes first_event_times;  ///< of turns
+  TurnTimes turn_times;         ///< total times of turns at engines
+  TurnTimes first_event_times;  ///< times to the first event of turns
   bool stopping = false;
   int active_requests = 0;
 };
--- a/src/serving/platform_records.hpp
+++ b/src/serving/platform_records.hpp
@@ -1,4 +1,4 @@
-/// @file What the store keeps for the node, as product types.
+/// @file Interface to the platform's records in the table store.
 #pragma once
 
 #include <string>
@@ -8,16 +8,16 @@
 
 namespace sailgate::serving {
 
-/// Where the configuration and the list of engines lie, and how they are decoded.
+/// Locates and decodes the configuration and the engine entries.
 class PlatformRecords {
  public:
   virtual ~PlatformRecords() = default;
   virtual std::string configuration_table() const = 0;
   virtual std::string configuration_key() const = 0;
   virtual std::string engine_table() const = 0;
-  /// @throws std::exception when `value` is no configuration.
+  /// @throws std::exception if `value` is not a valid configuration.
   virtual routing::Configuration decode_configuration(const std::string& value) const = 0;
-  /// @throws balancing::UnusableEntry when `value` names no engine to use.
+  /// @throws balancing::UnusableEntry if `value` does not describe a usable engine.
   virtual balancing::EngineRecord decode_engine(const std::string& key,
                                                 const std::string& value) const = 0;
 };
--- a/src/serving/reach_watch.cpp
+++ b/src/serving/reach_watch.cpp
@@ -8,10 +8,11 @@
 
 namespace {
 
-/// Other zones are heard several times a second: after this silence the store is asked as well, so
-/// that both are known when a decision is due.
+/// Other zones are heard several times a second. After this silence the store is probed as well, so
+/// that the state of both is known when the node decides whether to step aside.
 constexpr net::Millis kSilenceBeforeStoreCheck{400};
-/// A connection to another zone that takes longer would not serve callers in time either.
+/// Timeout of a probe connection. A zone to which connecting takes longer could not serve callers
+/// in time either.
 constexpr net::Millis kZoneProbeTimeout{250};
 
 }  // namespace
--- a/src/serving/reach_watch.hpp
+++ b/src/serving/reach_watch.hpp
@@ -1,4 +1,4 @@
-/// @file What this node reaches: the store, the other zones and their engines.
+/// @file Monitors whether this node reaches the store, the other zones and their engines.
 #pragma once
 
 #include <functional>
@@ -10,32 +10,34 @@
 
 namespace sailgate::serving {
 
-/// Keeps up whether this node steps aside, and which zones' engines come last. Not thread-safe.
+/// Maintains whether this node steps aside (reports itself as not ready) and which zones' engines
+/// rank last in selection. Not thread-safe.
 class ReachabilityMonitor {
  public:
-  /// @param close_idle_connections makes callers whose connection is idle come back by a new one.
+  /// @param close_idle_connections closes the idle connections of callers, so that they reconnect
+  /// through the load balancer.
   ReachabilityMonitor(NodeState& state, std::function<void()> close_idle_connections)
       : state_(state), close_idle_connections_(std::move(close_idle_connections)) {}
 
-  /// Called every 0.1 s or so.
+  /// Must be called about every 0.1 s.
   void maintain(net::TimePoint now);
 
  private:
-  /// Decides whether callers are sent elsewhere.
+  /// Decides whether this node steps aside, and closes idle connections once it does.
   void update_readiness(net::TimePoint now);
   void log_readiness(const readiness::ReadinessView& view);
-  /// Puts the engines of zones that are not heard last.
+  /// Updates the ranking of the engines in all other zones.
   void update_zone_reachability(net::TimePoint now);
-  /// Puts the engines of one other zone last, or not.
+  /// Makes the engines of one other zone rank last while there is no contact with it.
   void update_zone(const std::string& zone, const std::vector<balancing::EnginePointer>& engines,
                    net::TimePoint now);
-  /// Tries a connection to an engine of a silent zone.
+  /// Opens a probe connection to an engine of a silent zone.
   net::asio::awaitable<void> probe_zone(balancing::EnginePointer engine);
 
   NodeState& state_;
   std::function<void()> close_idle_connections_;
   balancing::ZoneReachability zone_reachability_;
-  bool idle_closed_ = false;  ///< since this node steps aside
+  bool idle_closed_ = false;  ///< idle connections were closed since the node stepped aside
 };
 
 }  // namespace sailgate::serving
--- a/src/serving/settings_reloader.cpp
+++ b/src/serving/settings_reloader.cpp
@@ -51,7 +51,7 @@
     const auto before = std::exchange(modified_at_, source_.modified_at());
     return modified_at_ != before;
   } catch (const std::exception&) {
-    return false;  // being replaced: the next look finds it
+    return false;  // the file is being replaced: the next check will find it
   }
 }
 
@@ -60,7 +60,7 @@
 }
 
 void SettingsReloader::reload(const char* cause) {
-  file_modified();  // what is read now need not be read again for having been written
+  file_modified();  // marks the current version as seen, so that watch() does not reload it again
   try {
     auto settings = source_.read();
     const auto change = compare_settings(current_, settings);
--- a/src/serving/settings_reloader.hpp
+++ b/src/serving/settings_reloader.hpp
@@ -1,4 +1,4 @@
-/// @file Takes changed settings over while the node runs.
+/// @file Applies changed settings while the node runs.
 #pragma once
 
 #include <cstdint>
@@ -12,39 +12,40 @@
 
 namespace sailgate::serving {
 
-/// Names of the settings in which two versions differ.
+/// Names of the settings that differ between two versions, by whether they can be applied at
+/// runtime.
 struct SettingsChange {
-  std::vector<std::string> applied;       ///< hold from now on
-  std::vector<std::string> need_restart;  ///< identity and own addresses: hold for a process's life
+  std::vector<std::string> applied;       ///< take effect without a restart
+  std::vector<std::string> need_restart;  ///< identity, listen addresses and quota bounds
 };
 
-/// Names in which `after` differs from `before`.
 SettingsChange compare_settings(const NodeSettings& before, const NodeSettings& after);
 
-/// Reads the settings file again when told to, and when it was written since. Settings that cannot
-/// be read are logged and change nothing. Not thread-safe: belongs to the event loop.
+/// Reloads the settings file on request and when the file was modified. If it cannot be read, the
+/// error is logged and the current settings stay in effect. Not thread-safe: use only on the event
+/// loop.
 class SettingsReloader {
  public:
-  /// Where settings come from. Both may throw std::exception.
+  /// Access to the settings file. Both functions may throw std::exception.
   struct Source {
     std::function<NodeSettings()> read;
-    std::function<std::int64_t()> modified_at;  ///< any number that changes with the file
+    std::function<std::int64_t()> modified_at;  ///< any number that changes when the file does
   };
   using Apply = std::function<void(const NodeSettings&)>;
 
-  /// @param apply takes over the settings that can change while the node runs.
+  /// @param apply applies the settings that can change while the node runs.
   SettingsReloader(net::asio::io_context& context, observe::StructuredLog& log, Source source,
                    NodeSettings current, Apply apply);
 
-  /// Reads and applies. @param cause why, for the log.
+  /// Reads the settings and applies the changes. @param cause reason for the reload, for the log.
   void reload(const char* cause);
-  /// Looks for a written file now and then, for as long as the event loop runs.
+  /// Checks the file for modifications periodically, for as long as the event loop runs.
   net::asio::awaitable<void> watch();
-  /// Reloads when the file was written since it was last looked at.
+  /// Reloads the settings if the file was modified since the last check.
   void reload_if_modified();
 
  private:
-  /// Whether the file was written since the last look.
+  /// Whether the file was modified since the last check.
   bool file_modified();
   void log_unreadable(const char* cause, const std::exception& error);
 
--- a/src/serving/store_feeds.cpp
+++ b/src/serving/store_feeds.cpp
@@ -11,12 +11,13 @@
 constexpr const char* kPeerTable = "nodes";
 constexpr net::Millis kStoreTimeout{700};
 constexpr net::Millis kRegisterRetryDelay{300};
-/// Changes of engines and the configuration are fetched together within this time: engines register
-/// within a few seconds, and without it each of 295 nodes made a call for almost every entry. It is
-/// a small part of the seconds in which a leaving engine or a configuration must be noticed.
+/// Changes of engines and of the configuration that occur within this time are fetched in one call.
+/// Engines register within a few seconds of each other; without batching, each of 295 nodes made a
+/// call for almost every entry. The delay is small compared with the seconds within which a leaving
+/// engine or a new configuration must be noticed.
 constexpr net::Millis kBatchTime{250};
-/// Nodes that come back anew are wanted sooner: until their row is known their beacons say nothing,
-/// and what was reserved at them counts as used.
+/// Restarted nodes must be known sooner: until its row has been read, a node's beacons are ignored
+/// and the tokens that were reserved at it count as spent.
 constexpr net::Millis kPeerBatchTime{40};
 
 }  // namespace
--- a/src/serving/store_feeds.hpp
+++ b/src/serving/store_feeds.hpp
@@ -1,4 +1,4 @@
-/// @file What a node follows in the table store: configuration, engines, the other nodes.
+/// @file Change feeds of the table store: configuration, engines and the other nodes.
 #pragma once
 
 #include <vector>
@@ -10,18 +10,18 @@
 
 namespace sailgate::serving {
 
-/// Takes changes over into the node's state, and keeps this node's own row. Not thread-safe.
+/// Applies changes from the feeds to the node's state and registers this node. Not thread-safe.
 class StoreFeeds {
  public:
   StoreFeeds(NodeState& state, const PlatformRecords& records, std::int64_t incarnation);
 
-  /// Begins to follow, and registers this node.
+  /// Starts following the feeds and registers this node.
   void start();
-  /// Called every 0.1 s or so.
+  /// Must be called about every 0.1 s.
   void maintain(net::TimePoint now);
-  /// Last time that a feed was answered.
+  /// Time of the last answer to the configuration or the engine feed; zero: none yet.
   net::TimePoint last_contact() const { return last_contact_; }
-  /// Removes this node's row.
+  /// Removes this node's row from the table of nodes.
   net::asio::awaitable<void> unregister_self();
 
  private:
@@ -29,7 +29,8 @@
   void apply_configuration(const store::Row& row);
   void apply_peer_row(const store::Row& row);
   void record_contact(bool reached);
-  /// Answers of the store that are older than what some node has seen are not taken over.
+  /// Passes the highest store version known to any node to the feeds, so that they ignore answers
+  /// that are older.
   void share_store_version();
   store::FollowerCallbacks configuration_callbacks();
   store::FollowerCallbacks engine_callbacks();
