--- a/tests/serving/engine_entries_test.cpp
+++ b/tests/serving/engine_entries_test.cpp
@@ -42,8 +42,8 @@
   platform::Records records;
 };
 
-/// Entries of other writers, none of which names an engine to use.
-const std::vector<std::string> kForeign{
+/// Invalid entries, as processes other than engines may write them.
+const std::vector<std::string> kInvalidEntries{
     "",
     "not json",
     "\xff\xfe{",
@@ -68,30 +68,29 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(EntriesFixture, "an entry of another writer names no engine and the others hold",
-                 "[serving]") {
+TEST_CASE_METHOD(EntriesFixture, "an invalid entry suspends only its own engine", "[serving]") {
   EngineEntries entries(state(), records);
-  for (const auto& foreign : kForeign) {
-    CAPTURE(foreign);
-    const bool whole = GENERATE(true, false);
+  for (const auto& invalid : kInvalidEntries) {
+    CAPTURE(invalid);
+    const bool snapshot = GENERATE(true, false);
     entries.apply_snapshot({row("a", entry()), row("b", entry())}, false);
     REQUIRE(usable("b"));
-    if (whole) {
-      entries.apply_snapshot({row("a", entry()), row("b", foreign), row("c", foreign)}, false);
+    if (snapshot) {
+      entries.apply_snapshot({row("a", entry()), row("b", invalid), row("c", invalid)}, false);
     } else {
-      entries.apply_change(row("b", foreign), false);
-      entries.apply_change(row("c", foreign), false);
+      entries.apply_change(row("b", invalid), false);
+      entries.apply_change(row("c", invalid), false);
     }
     REQUIRE(usable("a"));
     REQUIRE_FALSE(usable("b"));
     REQUIRE_FALSE(usable("c"));
-    // The next good entry brings it back at once.
+    // The next valid entry makes the engine usable again immediately.
     entries.apply_change(row("b", entry()), false);
     REQUIRE(usable("b"));
   }
 }
 
-TEST_CASE_METHOD(EntriesFixture, "whatever bytes an entry holds, the other engines stay",
+TEST_CASE_METHOD(EntriesFixture, "arbitrary bytes in an entry do not affect other engines",
                  "[serving]") {
   EngineEntries entries(state(), records);
   REQUIRE(rc::check([&] {
@@ -109,8 +108,8 @@
   }));
 }
 
-TEST_CASE_METHOD(EntriesFixture, "where engines tell their starts an entry without is another's",
-                 "[serving]") {
+TEST_CASE_METHOD(EntriesFixture,
+                 "an entry without a start is invalid if most engines report theirs", "[serving]") {
   EngineEntries entries(state(), records);
   std::vector<store::Row> rows;
   for (int i = 0; i < 8; ++i) rows.push_back(row("e" + std::to_string(i), entry(started(i))));
@@ -124,7 +123,7 @@
   REQUIRE(usable("odd"));
 }
 
-TEST_CASE_METHOD(EntriesFixture, "where engines tell no starts one that does takes none out of use",
+TEST_CASE_METHOD(EntriesFixture, "a single entry with a start does not invalidate those without",
                  "[serving]") {
   EngineEntries entries(state(), records);
   entries.apply_snapshot({row("a", entry()), row("b", entry()), row("c", entry(started(1)))},
@@ -136,24 +135,25 @@
   REQUIRE(usable("a"));
 }
 
-TEST_CASE_METHOD(EntriesFixture, "a restart between two entries is noticed without its removal",
+TEST_CASE_METHOD(EntriesFixture,
+                 "a restart is detected from the next entry without a removal between",
                  "[serving]") {
   EngineEntries entries(state(), records);
   entries.apply_snapshot({row("a", entry(started(1000)))}, false);
   const auto before = state().engines.at("a");
-  const bool lapsed = GENERATE(true, false);
-  if (lapsed) {
+  const bool removed_meanwhile = GENERATE(true, false);
+  if (removed_meanwhile) {
     auto gone = row("a", "");
     gone.removed = true;
     entries.apply_change(gone, true);
     REQUIRE(usable("a"));
   }
-  entries.apply_change(row("a", entry(started(2000))), lapsed);
+  entries.apply_change(row("a", entry(started(2000))), removed_meanwhile);
   REQUIRE(state().engines.at("a") != before);
   REQUIRE(usable("a"));
   REQUIRE_FALSE(before->usable());
   REQUIRE(state().metrics.text().find("sailgate_engine_restarts_total 1") != std::string::npos);
-  // What peers tell of the run before has another key.
+  // Peers' reports about the previous run have a different key.
   REQUIRE(cluster::engine_key(before->record.id) !=
           cluster::engine_key(state().engines.at("a")->record.id));
 }
--- a/tests/serving/engine_speed_wiring_test.cpp
+++ b/tests/serving/engine_speed_wiring_test.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(GatewayFixture, "a node tells how fast the engines are that it used of late",
+TEST_CASE_METHOD(GatewayFixture, "a beacon contains the measured speeds of recently used engines",
                  "[serving]") {
   start();
   engine.set_script(
@@ -22,13 +22,13 @@
   for (int i = 0; i < kRequests; ++i) REQUIRE(ask(request("POST", "/unsafe/x")).status == 200);
   const auto beacon = gateway->state().beacon(7);
   REQUIRE(beacon.__isset.speeds);
-  const auto& told = beacon.speeds.at(cluster::engine_key("e-1"));
-  REQUIRE(told.samples > 0);
-  REQUIRE(told.permille >= balancing::kMinPermille);
-  REQUIRE(told.permille <= balancing::kMaxPermille);
+  const auto& reported = beacon.speeds.at(cluster::engine_key("e-1"));
+  REQUIRE(reported.samples > 0);
+  REQUIRE(reported.permille >= balancing::kMinPermille);
+  REQUIRE(reported.permille <= balancing::kMaxPermille);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "answers that are no success tell nothing of an engine's speed",
+TEST_CASE_METHOD(GatewayFixture, "unsuccessful responses do not count as speed measurements",
                  "[serving]") {
   start();
   engine.set_script([](const auto& request) {
@@ -38,7 +38,7 @@
   REQUIRE_FALSE(gateway->state().beacon(7).__isset.speeds);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "with the mechanism off no speeds are learned or told",
+TEST_CASE_METHOD(GatewayFixture, "with the mechanism off no speeds are measured or sent",
                  "[serving]") {
   settings.mechanisms.speeds = false;
   start();
@@ -48,7 +48,7 @@
   REQUIRE_FALSE(gateway->state().beacon(7).__isset.speeds);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "a node goes by what other nodes tell of an engine's speed",
+TEST_CASE_METHOD(GatewayFixture, "a node uses its peers' measurements of an engine's speed",
                  "[serving]") {
   start();
   wire::PeerRow row;
--- a/tests/serving/gateway_test.cpp
+++ b/tests/serving/gateway_test.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(GatewayFixture, "a request reaches an engine and its answer comes back unchanged",
+TEST_CASE_METHOD(GatewayFixture, "a request is forwarded and its response returned unchanged",
                  "[serving]") {
   start();
   engine.set_script([](const auto& request) { return answer(request, "the body"); });
@@ -40,7 +40,7 @@
   REQUIRE(std::stoi(text(seen["Sailgate-Deadline-Ms"])) <= 2000);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "the caller's deadline goes before the route's time",
+TEST_CASE_METHOD(GatewayFixture, "the caller's deadline overrides the route's timeout",
                  "[serving]") {
   start();
   engine.set_script([](const auto& request) { return answer(request, ""); });
@@ -48,7 +48,8 @@
   REQUIRE(std::stoi(text(engine.requests().at(0)["Sailgate-Deadline-Ms"])) <= 700);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "without a configuration a node says come back, not unknown",
+TEST_CASE_METHOD(GatewayFixture,
+                 "without a configuration requests get 503 with Retry-After, not 404",
                  "[serving]") {
   start_unconfigured();
   const auto got = ask(request("GET", "/safe/x"));
@@ -57,7 +58,7 @@
   REQUIRE_FALSE(gateway->ready());
 }
 
-TEST_CASE_METHOD(GatewayFixture, "bad requests get their own answers and reach no engine",
+TEST_CASE_METHOD(GatewayFixture, "invalid requests get specific status codes and reach no engine",
                  "[serving]") {
   start();
   REQUIRE(ask(request("GET", "/none/x")).status == 404);
@@ -77,7 +78,8 @@
   REQUIRE(engine.requests().empty());
 }
 
-TEST_CASE_METHOD(GatewayFixture, "a refusal that did not run goes to another engine", "[serving]") {
+TEST_CASE_METHOD(GatewayFixture, "a request that an engine refused to run goes to another engine",
+                 "[serving]") {
   start(true);
   engine.set_script([](const auto&) { return EngineReply{test::not_run_answer(), false, false}; });
   other.set_script([](const auto& request) { return answer(request, "other"); });
@@ -87,7 +89,7 @@
   REQUIRE(other.requests().size() == 4);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "when every engine refuses the caller is told when to come back",
+TEST_CASE_METHOD(GatewayFixture, "when every engine refuses, the response contains Retry-After",
                  "[serving]") {
   start(true);
   const auto refuse = [](const auto&) { return EngineReply{test::not_run_answer(), false, false}; };
@@ -98,7 +100,7 @@
   REQUIRE(got.head.count(net::http::field::retry_after) == 1);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "a request that may have run is not sent again", "[serving]") {
+TEST_CASE_METHOD(GatewayFixture, "a request that may have run is not retried", "[serving]") {
   start(true);
   const auto lose = [](const auto&) { return EngineReply{"", true, false}; };
   engine.set_script(lose);
@@ -108,14 +110,16 @@
   REQUIRE(engine.requests().size() + other.requests().size() == 1);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "a repeatable request is sent again", "[serving]") {
+TEST_CASE_METHOD(GatewayFixture, "an idempotent request is retried", "[serving]") {
   start(true);
   engine.set_script([](const auto&) { return EngineReply{"", true, false}; });
   other.set_script([](const auto& request) { return answer(request, "other"); });
   for (int i = 0; i < 3; ++i) REQUIRE(ask(request("GET", "/safe/x")).body == "other");
 }
 
-TEST_CASE_METHOD(GatewayFixture, "a refusal without the engine's word is no promise", "[serving]") {
+TEST_CASE_METHOD(GatewayFixture,
+                 "a 503 without a statement that the request did not run becomes a 502",
+                 "[serving]") {
   start();
   engine.set_script([](const auto& request) {
     return EngineReply{test::engine_answer(request, "", "", 503), false, false};
@@ -125,7 +129,7 @@
   REQUIRE(got.head.count("Sailgate-Seal") == 0);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "an engine's own failure is passed on with its seal",
+TEST_CASE_METHOD(GatewayFixture, "an engine's error response is forwarded with its seal",
                  "[serving]") {
   start();
   engine.set_script([](const auto& request) {
@@ -137,7 +141,8 @@
   REQUIRE(got.head["Sailgate-Seal"] == "seal");
 }
 
-TEST_CASE_METHOD(GatewayFixture, "a success without seal or end is no success", "[serving]") {
+TEST_CASE_METHOD(GatewayFixture, "unsealed, truncated or malformed responses are not successes",
+                 "[serving]") {
   start();
   engine.set_script([](const auto& request) {
     return EngineReply{"HTTP/1.1 200 OK\r\nSailgate-Request-Id: " +
@@ -155,7 +160,8 @@
   REQUIRE(ask(request("POST", "/unsafe/x", "", "b")).status == 502);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "an answer without length ends with its connection", "[serving]") {
+TEST_CASE_METHOD(GatewayFixture, "a response without a length ends when its connection closes",
+                 "[serving]") {
   start();
   engine.set_script([](const auto& request) {
     return EngineReply{"HTTP/1.1 200 OK\r\nSailgate-Seal: s\r\nSailgate-Request-Id: " +
@@ -167,7 +173,7 @@
   REQUIRE(got.body == "all of it");
 }
 
-TEST_CASE_METHOD(GatewayFixture, "a late answer to an earlier request is skipped", "[serving]") {
+TEST_CASE_METHOD(GatewayFixture, "a late response to an earlier request is skipped", "[serving]") {
   start();
   engine.set_script([](const auto& request) {
     net::TextRequest earlier;
@@ -179,7 +185,8 @@
   REQUIRE(ask(request("POST", "/unsafe/x", "", "b")).body == "right");
 }
 
-TEST_CASE_METHOD(GatewayFixture, "surplus bytes behind an answer end the connection", "[serving]") {
+TEST_CASE_METHOD(GatewayFixture, "surplus bytes after a response close the connection",
+                 "[serving]") {
   start();
   engine.set_script([](const auto& request) {
     return EngineReply{test::engine_answer(request, "body") + "HTTP/1.1 200 OK\r\n", false, false};
@@ -189,7 +196,8 @@
   REQUIRE(engine.connections() == 2);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "connections to engines are kept, and dropped when told",
+TEST_CASE_METHOD(GatewayFixture,
+                 "connections to engines are reused until an engine sends Connection: close",
                  "[serving]") {
   start();
   engine.set_script([](const auto& request) { return answer(request, ""); });
@@ -203,7 +211,7 @@
   REQUIRE(engine.connections() == 2);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "a leaving engine gets no new requests", "[serving]") {
+TEST_CASE_METHOD(GatewayFixture, "a draining engine gets no new requests", "[serving]") {
   start(true);
   const auto serve = [](const auto& request) { return answer(request, ""); };
   engine.set_script(serve);
@@ -214,8 +222,7 @@
   REQUIRE(engine.requests().empty());
 }
 
-TEST_CASE_METHOD(GatewayFixture, "another incarnation at the address is never used again",
-                 "[serving]") {
+TEST_CASE_METHOD(GatewayFixture, "an engine that answers with 421 is not used again", "[serving]") {
   start(true);
   engine.set_script([](const auto&) {
     return EngineReply{
@@ -230,7 +237,7 @@
   REQUIRE(engine.requests().size() <= 1);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "when the caller leaves, the engine's connection closes",
+TEST_CASE_METHOD(GatewayFixture, "when the caller disconnects, the connection to the engine closes",
                  "[serving]") {
   start();
   engine.set_script([](const auto&) { return EngineReply{"", false, true}; });
@@ -254,8 +261,7 @@
   REQUIRE(ask(request("GET", "/new/x")).status == 200);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "a configuration that cannot be read changes nothing",
-                 "[serving]") {
+TEST_CASE_METHOD(GatewayFixture, "an invalid configuration changes nothing", "[serving]") {
   start();
   table.put("op", "", "config", "{\"version\":9}");
   put_engine("e-9", other);
@@ -263,7 +269,8 @@
   REQUIRE(gateway->state().routes->version() == 1);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "a planned stop refuses readiness and closes after answers",
+TEST_CASE_METHOD(GatewayFixture,
+                 "during shutdown a node is not ready and closes connections after responses",
                  "[serving]") {
   start();
   engine.set_script([](const auto& request) { return answer(request, "done"); });
@@ -275,7 +282,7 @@
 }
 
 TEST_CASE_METHOD(GatewayFixture,
-                 "an answer that breaks off is logged with its request and counts as a failure",
+                 "a truncated response is logged with its request and counts as a failure",
                  "[serving]") {
   start();
   engine.set_script([](const auto& request) {
@@ -287,7 +294,8 @@
   REQUIRE(gateway->state().engines.find("e-1")->consecutive_failures == 1);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "the end of a planned stop takes no request that it would cut",
+TEST_CASE_METHOD(GatewayFixture,
+                 "at the end of a shutdown no request is accepted only to be aborted",
                  "[serving]") {
   start();
   engine.set_script([](const auto& request) { return answer(request, "the body"); });
@@ -303,7 +311,7 @@
     co_return !error && got.result_int() == 200;
   };
   REQUIRE(test::run(context, talk()));
-  // Programs with unused tokens, and a store that does not take them back.
+  // Programs with unused tokens, which the silent store does not take back.
   engine.set_script([](const auto& request) {
     return EngineReply{test::stream_head(request) + test::event_chunk(1, "d") + test::kLastChunk,
                        false, false};
@@ -319,7 +327,8 @@
   table.set_mode(test::MemoryTable::Mode::kSilent);
   const auto seen = engine.requests().size();
   gateway->stop();
-  // Unregistering waits 0.7 s for the store, the entry has 3.2 s; then only the end is left.
+  // Unregistering waits 0.7 s for the store, and the listener stays open for 3.2 s after that, so
+  // that at 4.2 s the listener is closed already.
   const auto late = [&]() -> net::asio::awaitable<bool> {
     co_await net::sleep_for(context, net::Millis(4200));
     net::Error ignored;
@@ -331,7 +340,7 @@
   REQUIRE(engine.requests().size() == seen);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "a node whose metrics address is taken serves all the same",
+TEST_CASE_METHOD(GatewayFixture, "a node whose metrics address is in use still serves callers",
                  "[serving]") {
   net::asio::ip::tcp::acceptor taken(context, test::own_endpoint());
   settings.metrics = taken.local_endpoint();
@@ -340,7 +349,7 @@
   REQUIRE(logged({"metrics_unavailable"}) == 1);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "engines whose entries lapsed while the store was away serve on",
+TEST_CASE_METHOD(GatewayFixture, "engines whose entries expired during a store outage stay in use",
                  "[serving]") {
   start();
   engine.set_script([](const auto& request) { return answer(request, "the body"); });
@@ -358,13 +367,15 @@
   REQUIRE(ask(request("POST", "/unsafe/x")).status == 200);
   REQUIRE(logged({"engine_leaving"}) == 0);
 
-  // Without an absence an entry that goes takes its engine along.
+  // Without an outage, the removal of an entry removes its engine.
   table.remove("servers", "", "e-1");
   run_until(context, [&] { return logged({"engine_leaving", "e-1"}) == 1; });
   REQUIRE(ask(request("POST", "/unsafe/x")).status == 503);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "an engine whose entry does not come back is gone", "[serving]") {
+TEST_CASE_METHOD(GatewayFixture,
+                 "an engine whose entry does not reappear after an outage is removed",
+                 "[serving]") {
   start();
   table.set_mode(test::MemoryTable::Mode::kRefuses);
   const auto return_at = net::Clock::now() + net::Millis(1200);
@@ -375,8 +386,7 @@
   REQUIRE(ask(request("POST", "/unsafe/x")).status == 503);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "an engine that answers with faults of its own comes last",
-                 "[serving]") {
+TEST_CASE_METHOD(GatewayFixture, "an engine that answers with errors ranks last", "[serving]") {
   start(true);
   engine.set_script([](const auto& request) {
     return EngineReply{test::engine_answer(request, "why", "", 500), false, false};
@@ -386,13 +396,14 @@
   for (int i = 0; i < 6; ++i) {
     failed += ask(request("POST", "/unsafe/x", "", "b")).status == 500 ? 1 : 0;
   }
-  // It used to be the least busy one, and took every other request or more. One fault is no reason
-  // to avoid it yet.
+  // Fast errors made the failing engine the least loaded one, so that it got at least every other
+  // request. A single error does not suffice to avoid it.
   REQUIRE(failed <= 2);
   REQUIRE(engine.requests().size() == static_cast<std::size_t>(failed));
 }
 
-TEST_CASE_METHOD(GatewayFixture, "an engine that starts again under its name is met as a new one",
+TEST_CASE_METHOD(GatewayFixture,
+                 "an engine that restarts under the same name is treated as a new one",
                  "[serving]") {
   start();
   put_engine("e-1", engine, "ready", R"(,"born":1000)");
@@ -405,10 +416,10 @@
   put_engine("e-1", engine, "ready", R"(,"born":2000)");
   run_until(context, [&] { return logged({"engine_restarted", "e-1@2000"}) == 1; });
   REQUIRE(ask(request("POST", "/unsafe/x", "", "b")).status == 200);
-  // Connections to the run before are not used again, and the engine is told its own name.
+  // Connections to the previous run are not reused, and the engine gets its name without the start.
   REQUIRE(engine.connections() == connections + 1);
   REQUIRE(engine.requests().back()["Sailgate-Expect-Instance"] == "e-1");
-  // An entry that another writer left takes it out of use, the next good one brings it back.
+  // An invalid entry takes the engine out of use; the next valid one brings it back.
   table.put("servers", "", "e-1", "\xff");
   run_until(context, [&] { return logged({"engine_entry_unusable", "e-1"}) == 1; });
   REQUIRE(ask(request("POST", "/unsafe/x", "", "b")).status == 503);
--- a/tests/serving/prompt_places_test.cpp
+++ b/tests/serving/prompt_places_test.cpp
@@ -11,7 +11,7 @@
     "Sailgate-Program: p-1\r\nSailgate-Tokens: 9000,10\r\n"
     "Sailgate-Prompt-Prefix: 5c1e07a2:8000,91bd3f06:1000\r\n";
 
-/// Two engines that answer whatever they are asked.
+/// Two engines that answer every request.
 struct PromptFixture : GatewayFixture {
   void start_answering() {
     start(true);
@@ -25,7 +25,8 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(PromptFixture, "a node counts shared prompts, tells of them and places them",
+TEST_CASE_METHOD(PromptFixture,
+                 "a node counts shared prompts, reports them and assigns them to engines",
                  "[serving][prompts]") {
   start_answering();
   REQUIRE(ask(request("POST", "/safe/x", kLongPrompt, "prompt")).status == 200);
@@ -35,7 +36,7 @@
   REQUIRE(gateway->state().prompt_placements.at("app").copies() == 2);
 }
 
-TEST_CASE_METHOD(PromptFixture, "short prompts and those that nobody shares are not placed",
+TEST_CASE_METHOD(PromptFixture, "short prompts and prompts without a shared prefix are not counted",
                  "[serving][prompts]") {
   start_answering();
   const std::string unshared = "Sailgate-Tokens: 9000,10\r\n";
@@ -46,7 +47,7 @@
   REQUIRE(gateway->state().beacon(7).prompts.empty());
 }
 
-TEST_CASE_METHOD(PromptFixture, "placing of prompts can be switched off", "[serving][prompts]") {
+TEST_CASE_METHOD(PromptFixture, "prompt placement can be switched off", "[serving][prompts]") {
   settings.mechanisms.prompts = false;
   start_answering();
   REQUIRE(ask(request("POST", "/safe/x", kLongPrompt, "prompt")).status == 200);
--- a/tests/serving/settings_reloader_test.cpp
+++ b/tests/serving/settings_reloader_test.cpp
@@ -23,14 +23,14 @@
       return written;
     };
     source.modified_at = [this] { return modified_at; };
-    const auto apply = [this](const serving::NodeSettings& taken) { applied.push_back(taken); };
+    const auto apply = [this](const serving::NodeSettings& changed) { applied.push_back(changed); };
     return {context, log, source, settings, apply};
   }
 };
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a signal takes the store's new address over", "[settings]") {
+TEST_CASE_METHOD(Fixture, "a reload on a signal applies the store's new address", "[settings]") {
   written.store = test::own_endpoint();
   reloader.reload("signal");
   REQUIRE(applied.size() == 1);
@@ -38,14 +38,14 @@
   REQUIRE(logged({"settings_reloaded", "signal", "\"taken\":\"store\""}) == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "bounds on limits need a restart", "[settings]") {
+TEST_CASE_METHOD(Fixture, "changed quota bounds require a restart", "[settings]") {
   written.quota_bounds.window = net::Millis(4000);
   reloader.reload("signal");
   REQUIRE(applied.empty());
   REQUIRE(logged({"settings_reloaded", "\"need_restart\":\"quota_bounds\""}) == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "a file that is written without a signal is read", "[settings]") {
+TEST_CASE_METHOD(Fixture, "a modified file is reloaded without a signal", "[settings]") {
   written.stop_grace = net::Millis(1234);
   reloader.reload_if_modified();
   REQUIRE(applied.empty());
@@ -56,7 +56,7 @@
   REQUIRE(applied.front().stop_grace == net::Millis(1234));
 }
 
-TEST_CASE_METHOD(Fixture, "a file that a signal had read is not read again for having been written",
+TEST_CASE_METHOD(Fixture, "a modified file that was reloaded on a signal is not reloaded again",
                  "[settings]") {
   written.stop_grace = net::Millis(1234);
   modified_at = 2;
@@ -65,21 +65,21 @@
   REQUIRE(logged({"settings_reloaded"}) == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "a file that cannot be read changes nothing", "[settings]") {
+TEST_CASE_METHOD(Fixture, "an unreadable file changes nothing", "[settings]") {
   broken = true;
   reloader.reload("signal");
   REQUIRE(applied.empty());
   REQUIRE(logged({"settings_unreadable", "half a file"}) == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "own addresses hold until a restart", "[settings]") {
+TEST_CASE_METHOD(Fixture, "changed listen addresses require a restart", "[settings]") {
   written.callers = test::own_endpoint();
   reloader.reload("signal");
   REQUIRE(applied.empty());
   REQUIRE(logged({"settings_reloaded", "\"need_restart\":\"callers\""}) == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "a running node takes a changed grace over", "[settings]") {
+TEST_CASE_METHOD(Fixture, "a running node applies a changed grace period", "[settings]") {
   start();
   auto changed = settings;
   changed.stop_grace = net::Millis(900);
@@ -87,7 +87,7 @@
   REQUIRE(gateway->state().settings.stop_grace == net::Millis(900));
 }
 
-TEST_CASE_METHOD(Fixture, "calls go to the server's new address, kept connections do not",
+TEST_CASE_METHOD(Fixture, "after a change of the server's address calls use no old connection",
                  "[settings]") {
   net::HttpClient client(context, engine.endpoint());
   const auto script = [](const net::TextRequest& request) {
--- a/tests/serving/tenants_test.cpp
+++ b/tests/serving/tenants_test.cpp
@@ -17,7 +17,7 @@
 
 std::string key(const std::string& value) { return "X-Api-Key: " + value + "\r\n"; }
 
-/// Two tenants, and a route that is open to all.
+/// Two tenants, and a public route that requires no key.
 struct TenantFixture : GatewayFixture {
   TenantFixture() {
     put_engine("e-1", engine);
@@ -38,7 +38,7 @@
     return ask(request("POST", path, headers, "in")).status;
   }
 
-  /// A turn of program p. @param previous empty: the first one.
+  /// Runs a turn of program p. @param previous id of the previous turn; empty: the first turn.
   test::CallerAnswer turn(const std::string& tenant_key, const std::string& id,
                           const std::string& previous, const std::string& input) {
     auto headers = key(tenant_key) + "Sailgate-Request-Id: " + id +
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(TenantFixture, "an engine sees whose request it is and not the key",
+TEST_CASE_METHOD(TenantFixture, "an engine receives the tenant's name but not its key",
                  "[serving][tenancy]") {
   REQUIRE(status(key("k2") + "Sailgate-Tenant: band\r\n") == 200);
   const auto& seen = engine.requests().at(0);
@@ -62,7 +62,7 @@
   REQUIRE(logged({"k2"}) == 0);
 }
 
-TEST_CASE_METHOD(TenantFixture, "requests that name no tenant are refused before an engine",
+TEST_CASE_METHOD(TenantFixture, "requests without one valid key are rejected and reach no engine",
                  "[serving][tenancy]") {
   REQUIRE(status("") == 401);
   REQUIRE(status(key("")) == 401);
@@ -73,7 +73,8 @@
   REQUIRE(status(key("  k1  ")) == 200);
 }
 
-TEST_CASE_METHOD(TenantFixture, "an open route takes everybody and still tells whose request it is",
+TEST_CASE_METHOD(TenantFixture,
+                 "a public route needs no key but identifies the tenant of a valid one",
                  "[serving][tenancy]") {
   REQUIRE(status("Sailgate-Tenant: band\r\n", "/open/x") == 200);
   REQUIRE(status(key("k3"), "/open/x") == 200);
@@ -81,7 +82,7 @@
   REQUIRE(engine.requests().at(1)["Sailgate-Tenant"] == "band");
 }
 
-TEST_CASE_METHOD(TenantFixture, "a key in a trailer does not stand in for one in the head",
+TEST_CASE_METHOD(TenantFixture, "a key in a trailer does not replace the one in the header",
                  "[serving][tenancy]") {
   const auto chunked = [](const std::string& headers, const std::string& trailer) {
     return "POST /unsafe/x HTTP/1.1\r\nHost: h\r\nSailgate-Request-Id: r\r\n" + headers +
@@ -93,7 +94,7 @@
   REQUIRE(engine.requests().at(0).count("Sailgate-Tenant") == 1);
 }
 
-TEST_CASE_METHOD(TenantFixture, "headers by which the system speaks to engines are taken off",
+TEST_CASE_METHOD(TenantFixture, "internal headers are removed from requests of callers",
                  "[serving][tenancy]") {
   const std::vector<std::string> names = {
       "Sailgate-Tenant", "sailgate-hold", "SAILGATE-PIN-MS",         "Sailgate-Kv-Backup",
@@ -111,14 +112,14 @@
   REQUIRE(seen["Sailgate-Length-Hint"] == "7");
 }
 
-TEST_CASE_METHOD(TenantFixture, "a tenant's rank goes before the route's", "[serving][tenancy]") {
+TEST_CASE_METHOD(TenantFixture, "a tenant's priority overrides the route's", "[serving][tenancy]") {
   REQUIRE(status(key("k1")) == 200);
   REQUIRE(status(key("k3")) == 200);
   REQUIRE(engine.requests().at(0)["Sailgate-Sched-Priority"] == "4");
   REQUIRE(engine.requests().at(1)["Sailgate-Sched-Priority"] == "1");
 }
 
-TEST_CASE_METHOD(TenantFixture, "a key that was taken away ends on kept connections too",
+TEST_CASE_METHOD(TenantFixture, "a revoked key is rejected on open connections too",
                  "[serving][tenancy]") {
   net::beast::tcp_stream kept(context);
   net::Error error;
@@ -138,7 +139,8 @@
   REQUIRE(status(key("k2")) == 200);
 }
 
-TEST_CASE_METHOD(TenantFixture, "tenants that use the same ids never meet", "[serving][tenancy]") {
+TEST_CASE_METHOD(TenantFixture, "programs and turns of tenants that use the same ids are isolated",
+                 "[serving][tenancy]") {
   REQUIRE(turn("k1", "t1", "", "choir-in").whole);
   REQUIRE(turn("k3", "t1", "", "band-in").whole);
   REQUIRE(turn("k1", "t2", "t1", "more").whole);
@@ -149,13 +151,14 @@
   REQUIRE(engine.requests().size() == 4);
 }
 
-TEST_CASE_METHOD(TenantFixture, "a program's budget is its tenant's own", "[serving][tenancy]") {
+TEST_CASE_METHOD(TenantFixture, "tenants with the same program id have separate budgets",
+                 "[serving][tenancy]") {
   for (int i = 0; i < 9; ++i) turn("k1", "t" + std::to_string(i), "", "in");
   REQUIRE(turn("k1", "t9", "", "in").status == 402);
   REQUIRE(turn("k3", "t9", "", "in").status == 200);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "where no tenants are configured a key is taken off and no more",
+TEST_CASE_METHOD(GatewayFixture, "without configured tenants a key is only removed",
                  "[serving][tenancy]") {
   start();
   engine.set_script([](const auto& asked) {
