--- a/src/serving/node_state.hpp
+++ b/src/serving/node_state.hpp
@@ -131,8 +131,8 @@
     message.__isset.speeds = !message.speeds.empty();
   }
 
-  /// Uptimes from this on are not sent to peers: the data that the process lost by its restart has
-  /// left every window by then.
+  /// Uptimes of this length or more are not sent to peers: the data that the process lost by its
+  /// restart has left every window by then.
   static constexpr net::Millis kMaxReportedUptime{60'000};
 
   /// Maintenance runs every 0.1 s; a longer gap than this means that the process was stalled.
--- a/src/serving/reach_watch.hpp
+++ b/src/serving/reach_watch.hpp
@@ -23,7 +23,8 @@
   void maintain(net::TimePoint now);
 
  private:
-  /// Decides whether this node steps aside, and closes idle connections once it does.
+  /// Decides whether this node steps aside, and closes idle connections once the load balancer has
+  /// detected it.
   void update_readiness(net::TimePoint now);
   void log_readiness(const readiness::ReadinessView& view);
   /// Updates the ranking of the engines in all other zones.
