--- a/src/serving/engine_picture.hpp
+++ b/src/serving/engine_picture.hpp
@@ -1,4 +1,4 @@
-/// @file Engines as all nodes together see them.
+/// @file Combines the observations of all nodes about the engines.
 #pragma once
 
 #include <vector>
@@ -7,30 +7,31 @@
 
 namespace sailgate::serving {
 
-/// Takes what the other nodes tell of engines over into the registry: their loads, failures and
-/// speeds, and which of them keep each shared prompt. Not thread-safe.
-class EnginePicture {
+/// Updates the registry from the peers' beacons: loads, failures and speeds of the engines. Also
+/// assigns the shared prompts to engines. Not thread-safe.
+class EngineStateUpdater {
  public:
-  explicit EnginePicture(NodeState& state) : state_(state) {}
+  explicit EngineStateUpdater(NodeState& state) : state_(state) {}
 
-  /// Called every 0.1 s or so.
+  /// Must be called about every 0.1 s.
   void maintain(net::TimePoint now);
 
  private:
-  void take_loads(net::TimePoint now);
-  /// Leaves engines that fail for many nodes to one node of each zone.
-  void take_failures(net::TimePoint now);
-  /// Takes over how fast engines are, as this node's exchanges and the other nodes tell.
-  void take_speeds(net::TimePoint now);
-  void log_speed(balancing::Engine& engine, const balancing::SpeedReport& told, net::TimePoint now);
-  /// Settles which engines keep each shared prompt, from what all nodes are asked for.
-  void place_prompts(net::TimePoint now);
-  void log_places(const routing::Service& service, double prompt_tokens,
-                  const std::vector<balancing::ReplicaCountChange>& changes);
+  void update_loads(net::TimePoint now);
+  /// Restricts probing of engines that fail for several nodes to one node per zone.
+  void update_failures(net::TimePoint now);
+  /// Updates the speed estimates from this node's exchanges and the peers' reports.
+  void update_speeds(net::TimePoint now);
+  void log_speed(balancing::Engine& engine, const balancing::SpeedReport& reported,
+                 net::TimePoint now);
+  /// Assigns the shared prompts to engines by the requests of all nodes.
+  void update_prompt_placement(net::TimePoint now);
+  void log_replica_changes(const routing::Service& service, double prompt_tokens,
+                           const std::vector<balancing::ReplicaCountChange>& changes);
 
   NodeState& state_;
-  net::TimePoint speeds_taken_at_{};
-  net::TimePoint prompts_placed_at_{};
+  net::TimePoint speeds_updated_at_{};
+  net::TimePoint prompts_updated_at_{};
 };
 
 }  // namespace sailgate::serving
