--- a/src/api/call_runner.cpp
+++ b/src/api/call_runner.cpp
@@ -102,7 +102,7 @@
   DispatchResult result;
   result.kind = DispatchResult::Kind::kUnsent;
   if (left > 0 && fresh) result = backends_.run(order, std::chrono::milliseconds(left), on_piece);
-  if (result.result.size() > program::kLongestText) {
+  if (result.result.size() > program::kMaxTextBytes) {
     // It ran, but its answer cannot be kept.
     result.kind = DispatchResult::Kind::kFailed;
     result.result.clear();
--- a/src/api/caller_api.hpp
+++ b/src/api/caller_api.hpp
@@ -33,7 +33,7 @@
   std::size_t active_calls() const { return active_calls_; }
 
   /// Largest request body in bytes.
-  static constexpr std::size_t kBodyLimit = program::kLongestText;
+  static constexpr std::size_t kBodyLimit = program::kMaxTextBytes;
 
  private:
   void dispatch(const http::HttpRequest& request, http::Responder& responder);
--- a/src/backend/backend_client.cpp
+++ b/src/backend/backend_client.cpp
@@ -156,7 +156,7 @@
   return result;
 }
 
-bool HttpBackendClient::evict(const program::EvictionOrder& order) {
+bool HttpBackendClient::evict(const program::EvictionRequest& order) {
   http::HttpRequest request;
   request.method = "POST";
   request.path = {"v1", "cache", "evict"};
@@ -167,7 +167,7 @@
   return answer.body_complete && answer.response.status == kOk;
 }
 
-void HttpBackendClient::cancel(const program::CancelOrder& order) {
+void HttpBackendClient::cancel(const program::CancelRequest& order) {
   http::HttpRequest request;
   request.method = "POST";
   request.path = {"v1", "attempts", std::to_string(order.attempt), "cancel"};
@@ -197,7 +197,7 @@
     }
   } catch (const std::exception&) {
     // Ask again later.
-    result.verdict = program::InquiryAnswer::Verdict::kOpen;
+    result.verdict = program::InquiryAnswer::Verdict::kUndetermined;
   }
   return result;
 }
--- a/src/backend/backend_client.hpp
+++ b/src/backend/backend_client.hpp
@@ -37,8 +37,8 @@
   virtual api::DispatchResult run(const AttemptOrder& order, std::chrono::milliseconds deadline,
                                   const PieceHandler& on_piece) = 0;
   /// @return whether the engine confirmed that it holds nothing of the program.
-  virtual bool evict(const program::EvictionOrder& order) = 0;
-  virtual void cancel(const program::CancelOrder& order) = 0;
+  virtual bool evict(const program::EvictionRequest& order) = 0;
+  virtual void cancel(const program::CancelRequest& order) = 0;
   virtual program::InquiryAnswer inquire(const program::OutcomeInquiry& inquiry) = 0;
   /// Asks another process of sailgate. One that cannot be connected to runs nothing.
   virtual AttemptState ask_gateway(const program::GatewayCheck& check) = 0;
@@ -53,8 +53,8 @@
 
   api::DispatchResult run(const AttemptOrder& order, std::chrono::milliseconds deadline,
                           const PieceHandler& on_piece) override;
-  bool evict(const program::EvictionOrder& order) override;
-  void cancel(const program::CancelOrder& order) override;
+  bool evict(const program::EvictionRequest& order) override;
+  void cancel(const program::CancelRequest& order) override;
   program::InquiryAnswer inquire(const program::OutcomeInquiry& inquiry) override;
   AttemptState ask_gateway(const program::GatewayCheck& check) override;
   std::optional<LoadReport> load(const std::string& backend) override;
--- a/src/configuration/bundle_check.cpp
+++ b/src/configuration/bundle_check.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-std::string problem_alone(const wire::Bundle& bundle) {
+std::string validate_bundle(const wire::Bundle& bundle) {
   if (bundle.partner.empty()) return "the bundle names no partner";
   if (bundle.version < 1) return "the version must be at least 1";
   std::set<std::string> tenants;
@@ -59,7 +59,8 @@
   return overbooked(shares);
 }
 
-std::string problem_together(const wire::Bundle& bundle, const wire::Configuration& in_force) {
+std::string validate_in_configuration(const wire::Bundle& bundle,
+                                      const wire::Configuration& in_force) {
   Shares shares;
   add_shares(bundle, shares);
   for (const auto& other : in_force.bundles) {
@@ -78,7 +79,7 @@
   return overbooked(shares);
 }
 
-wire::Configuration with_bundle(const wire::Configuration& in_force, const wire::Bundle& bundle) {
+wire::Configuration apply_bundle(const wire::Configuration& in_force, const wire::Bundle& bundle) {
   wire::Configuration next;
   next.generation = in_force.generation + 1;
   for (const auto& other : in_force.bundles) {
--- a/src/configuration/bundle_check.hpp
+++ b/src/configuration/bundle_check.hpp
@@ -8,15 +8,16 @@
 namespace sailgate::configuration {
 
 /// @return what is wrong with a bundle by itself, or an empty string.
-std::string problem_alone(const wire::Bundle& bundle);
+std::string validate_bundle(const wire::Bundle& bundle);
 
 /// @return why a bundle does not fit the configuration it would join, or an empty string: the
 /// shares of a model's engines that partners reserve must fit together, and no tenant may belong to
 /// two.
-std::string problem_together(const wire::Bundle& bundle, const wire::Configuration& in_force);
+std::string validate_in_configuration(const wire::Bundle& bundle,
+                                      const wire::Configuration& in_force);
 
 /// The configuration after a bundle took effect.
-wire::Configuration with_bundle(const wire::Configuration& in_force, const wire::Bundle& bundle);
+wire::Configuration apply_bundle(const wire::Configuration& in_force, const wire::Bundle& bundle);
 
 /// Rules in force; nullptr when no bundle names the tenant or kind.
 const wire::TenantRule* find_tenant(const wire::Configuration& configuration,
--- a/src/configuration/bundle_roll.cpp
+++ b/src/configuration/bundle_roll.cpp
@@ -32,29 +32,29 @@
   return range;
 }
 
-wire::Configuration configuration_of(const std::vector<store::Row>& rows) {
+wire::Configuration configuration_from_rows(const std::vector<store::Row>& rows) {
   if (rows.empty() || rows.front().id.key != kKey) return {};
   return wire::decode<wire::Configuration>(rows.front().value);
 }
 
-BundleRoll::BundleRoll(wire::SignedBundle signed_bundle, const PartnerKeys& keys)
+BundleRollout::BundleRollout(wire::SignedBundle signed_bundle, const PartnerKeys& keys)
     : signed_bundle_(std::move(signed_bundle)), keys_(keys) {}
 
-void BundleRoll::load(std::vector<store::Row> rows) {
-  in_force_ = configuration_of(rows);
+void BundleRollout::load(std::vector<store::Row> rows) {
+  in_force_ = configuration_from_rows(rows);
   version_ = rows.empty() ? 0 : rows.front().version;
 }
 
-void BundleRoll::refuse(wire::ErrorKind::type kind, const std::string& detail) {
+void BundleRollout::refuse(wire::ErrorKind::type kind, const std::string& detail) {
   refusal_ = base::make_refusal(kind);
   refusal_->detail = detail;
 }
 
-std::optional<store::Transaction> BundleRoll::evaluate() {
+std::optional<store::Transaction> BundleRollout::evaluate() {
   refusal_.reset();
   const auto& bundle = signed_bundle_.bundle;
-  auto problem = problem_with_signatures(signed_bundle_, keys_);
-  if (problem.empty()) problem = problem_alone(bundle);
+  auto problem = verify_signatures(signed_bundle_, keys_);
+  if (problem.empty()) problem = validate_bundle(bundle);
   if (!problem.empty()) {
     refuse(Kind::kBundleRefused, problem);
     return std::nullopt;
@@ -69,12 +69,12 @@
     refuse(Kind::kBundleConflict, describe_winner(in_force_));
     return std::nullopt;
   }
-  problem = problem_together(bundle, in_force_);
+  problem = validate_in_configuration(bundle, in_force_);
   if (!problem.empty()) {
     refuse(Kind::kBundleRefused, problem);
     return std::nullopt;
   }
-  next_ = with_bundle(in_force_, bundle);
+  next_ = apply_bundle(in_force_, bundle);
   store::Transaction transaction;
   const store::RowId id{kTable, "", kKey};
   transaction.conditions.push_back({id, version_});
@@ -85,6 +85,6 @@
   return transaction;
 }
 
-void BundleRoll::written(std::int64_t version) { version_ = version; }
+void BundleRollout::written(std::int64_t version) { version_ = version; }
 
 }  // namespace sailgate::configuration
--- a/src/configuration/bundle_roll.hpp
+++ b/src/configuration/bundle_roll.hpp
@@ -10,12 +10,12 @@
 /// The one row that holds the configuration.
 store::RangeRead configuration_range();
 /// @throws std::exception when the row cannot be read. No row is generation 0.
-wire::Configuration configuration_of(const std::vector<store::Row>& rows);
+wire::Configuration configuration_from_rows(const std::vector<store::Row>& rows);
 
 /// Subject of store::OptimisticUpdate. Not thread-safe.
-class BundleRoll : public store::UpdateSubject {
+class BundleRollout : public store::UpdateSubject {
  public:
-  BundleRoll(wire::SignedBundle signed_bundle, const PartnerKeys& keys);
+  BundleRollout(wire::SignedBundle signed_bundle, const PartnerKeys& keys);
 
   void load(std::vector<store::Row> rows) override;
   std::optional<store::Transaction> evaluate() override;
--- a/src/configuration/configuration_holder.cpp
+++ b/src/configuration/configuration_holder.cpp
@@ -11,7 +11,7 @@
   lease_until_ = std::max(lease_until_, asked_at + knobs_.configuration_lease);
 }
 
-base::Millis time_until_in_force(const base::Knobs& knobs) {
+base::Millis activation_delay(const base::Knobs& knobs) {
   constexpr base::Millis kPercent = 100;
   const auto margin = knobs.configuration_lease * knobs.clock_drift_percent / kPercent;
   return knobs.configuration_lease + margin;
--- a/src/configuration/configuration_holder.hpp
+++ b/src/configuration/configuration_holder.hpp
@@ -20,7 +20,7 @@
   void on_read(wire::Configuration configuration, base::Millis asked_at);
 
   /// Whether this node may serve now.
-  bool live(base::Millis now) const { return rules_->lease_live(now, lease_until_); }
+  bool has_valid_lease(base::Millis now) const { return rules_->lease_valid(now, lease_until_); }
   const wire::Configuration& configuration() const { return configuration_; }
   std::int64_t generation() const { return configuration_.generation; }
 
@@ -32,6 +32,6 @@
 };
 
 /// Time after a configuration was stored at which no node serves under an older one any more.
-base::Millis time_until_in_force(const base::Knobs& knobs);
+base::Millis activation_delay(const base::Knobs& knobs);
 
 }  // namespace sailgate::configuration
--- a/src/configuration/lease_rules.hpp
+++ b/src/configuration/lease_rules.hpp
@@ -20,7 +20,7 @@
   /// An accepted bundle may be answered only once no older lease can be live.
   virtual bool wait_for_leases() const { return true; }
   /// A node serves only while its lease is live.
-  virtual bool lease_live(base::Millis now, base::Millis until) const { return now < until; }
+  virtual bool lease_valid(base::Millis now, base::Millis until) const { return now < until; }
 };
 
 }  // namespace sailgate::configuration
--- a/src/configuration/signing.cpp
+++ b/src/configuration/signing.cpp
@@ -82,8 +82,7 @@
   return signature;
 }
 
-std::string problem_with_signatures(const wire::SignedBundle& signed_bundle,
-                                    const PartnerKeys& keys) {
+std::string verify_signatures(const wire::SignedBundle& signed_bundle, const PartnerKeys& keys) {
   const auto& bundle = signed_bundle.bundle;
   if (keys.count(bundle.partner) == 0) return "unknown partner " + bundle.partner;
   for (const auto& [partner, key] : keys) {
--- a/src/configuration/signing.hpp
+++ b/src/configuration/signing.hpp
@@ -32,7 +32,6 @@
 
 /// @return why the signatures do not suffice, or an empty string: each partner must have signed
 /// this very bundle.
-std::string problem_with_signatures(const wire::SignedBundle& signed_bundle,
-                                    const PartnerKeys& keys);
+std::string verify_signatures(const wire::SignedBundle& signed_bundle, const PartnerKeys& keys);
 
 }  // namespace sailgate::configuration
--- a/src/node/bundle_file.cpp
+++ b/src/node/bundle_file.cpp
@@ -72,7 +72,7 @@
     bundle.placements.push_back(read_placement(entry));
   }
   table.finish();
-  const auto problem = configuration::problem_alone(bundle);
+  const auto problem = configuration::validate_bundle(bundle);
   if (!problem.empty()) table.fail("bundle", problem);
   return bundle;
 }
--- a/src/node/family_store.cpp
+++ b/src/node/family_store.cpp
@@ -26,7 +26,7 @@
 
 ChangeEnd FamilyStore::run(program::FamilyUpdate& update, bool cached, base::Millis patience) {
   const milliseconds timeout(knobs_.store_timeout);
-  store::OptimisticUpdate steps(rules_, update, context_.rows.whole(update.family()), cached,
+  store::OptimisticUpdate steps(rules_, update, context_.rows.family_range(update.family()), cached,
                                 monotonic_now() + patience);
   const bool decided = run_update(store_, steps, timeout);
   if (update.too_large()) return ChangeEnd::kTooLarge;
@@ -63,10 +63,10 @@
   bool more = true;
   while (more) {
     const auto page =
-        store_.read(context_.rows.due(part, after), milliseconds(knobs_.store_timeout));
+        store_.read(context_.rows.due_range(part, after), milliseconds(knobs_.store_timeout));
     if (page.status != store::StoreStatus::kDone) break;
     for (const auto& row : page.rows) {
-      if (program::FamilyRows::due_at(row) <= now_unix) due.push_back(row.id.key);
+      if (program::FamilyRows::decode_due_time(row) <= now_unix) due.push_back(row.id.key);
     }
     more = page.more && !page.rows.empty();
     if (more) after = page.rows.back().id.key;
--- a/src/node/family_store.hpp
+++ b/src/node/family_store.hpp
@@ -34,7 +34,7 @@
   /// Families of a part that somebody must look at now.
   std::vector<std::string> due_families(std::int32_t part, base::Millis now_unix);
 
-  std::int32_t parts() const { return context_.rows.parts(); }
+  std::int32_t parts() const { return context_.rows.partition_count(); }
   /// Families kept in memory.
   std::size_t cached() const;
 
--- a/src/node/node_runtime.cpp
+++ b/src/node/node_runtime.cpp
@@ -85,7 +85,7 @@
 
 wire::ProgramReply NodeRuntime::roll(const wire::SignedBundle& signed_bundle,
                                      base::Millis patience) {
-  configuration::BundleRoll bundle_roll(signed_bundle, settings_.partner_keys);
+  configuration::BundleRollout bundle_roll(signed_bundle, settings_.partner_keys);
   const store::UpdateRules rules;
   store::OptimisticUpdate steps(rules, bundle_roll, configuration::configuration_range(), false,
                                 monotonic_now() + patience);
@@ -106,7 +106,7 @@
     line.with("partner", bundle.partner).with("version", bundle.version);
     line.with("generation", generation);
   });
-  std::this_thread::sleep_for(milliseconds(configuration::time_until_in_force(settings_.knobs)));
+  std::this_thread::sleep_for(milliseconds(configuration::activation_delay(settings_.knobs)));
   return program::accepted_reply(std::to_string(generation));
 }
 
@@ -151,7 +151,7 @@
   if (!answered) return;
   const auto before = configuration_.generation();
   try {
-    configuration_.on_read(configuration::configuration_of(result.rows), asked_at);
+    configuration_.on_read(configuration::configuration_from_rows(result.rows), asked_at);
   } catch (const std::exception& error) {
     services_.log.event("configuration_unreadable",
                         [&](auto& line) { line.with("why", error.what()); });
@@ -199,9 +199,9 @@
 }
 
 void NodeRuntime::settle_family(const std::string& family) {
-  program::DueOrders orders;
+  program::DueActions orders;
   const auto settle = [&](program::FamilyState& state) {
-    orders = program::settle_due(state, unix_now(), settings_.knobs);
+    orders = program::process_due_work(state, unix_now(), settings_.knobs);
   };
   if (families_.change(family, settle, kSettlePatience) != ChangeEnd::kDecided) return;
   services_.log.event("family_settled", [&](auto& line) {
@@ -219,7 +219,7 @@
   families_.change(family, std::move(change), kSettlePatience);
 }
 
-void NodeRuntime::carry_out(const std::string& family, const program::DueOrders& orders) {
+void NodeRuntime::carry_out(const std::string& family, const program::DueActions& orders) {
   for (const auto& order : orders.cancels) services_.backends.cancel(order);
   for (const auto& order : orders.evictions) {
     if (!services_.backends.evict(order)) continue;
@@ -233,7 +233,7 @@
   for (const auto& inquiry : orders.inquiries) {
     const auto answer = services_.backends.inquire(inquiry);
     change_quietly(family, [answer](program::FamilyState& state) {
-      program::settle_inquiry(state, answer, unix_now());
+      program::apply_inquiry_answer(state, answer, unix_now());
     });
   }
   for (const auto& check : orders.checks) check_gateway(family, check);
@@ -250,7 +250,7 @@
     line.with("gateway", check.gateway_address);
   });
   change_quietly(family, [check](program::FamilyState& changed) {
-    program::settle_lost_attempt(changed, check, unix_now());
+    program::mark_attempt_lost(changed, check, unix_now());
   });
 }
 
@@ -258,7 +258,7 @@
 
 bool NodeRuntime::configuration_live() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return configuration_.live(monotonic_now());
+  return configuration_.has_valid_lease(monotonic_now());
 }
 
 wire::Configuration NodeRuntime::configuration() const {
@@ -341,7 +341,7 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   status.attempts_running = running_.size();
   status.generation = configuration_.generation();
-  status.configuration_live = configuration_.live(monotonic_now());
+  status.configuration_live = configuration_.has_valid_lease(monotonic_now());
   status.stopping = stopping_;
   return status;
 }
--- a/src/node/node_runtime.hpp
+++ b/src/node/node_runtime.hpp
@@ -86,7 +86,7 @@
   void poll_backends();
   void sweep();
   void settle_family(const std::string& family);
-  void carry_out(const std::string& family, const program::DueOrders& orders);
+  void carry_out(const std::string& family, const program::DueActions& orders);
   void check_gateway(const std::string& family, const program::GatewayCheck& check);
   void change_quietly(const std::string& family, program::FamilyUpdate::Change change);
 
--- a/src/program/due_work.cpp
+++ b/src/program/due_work.cpp
@@ -32,7 +32,7 @@
 }
 
 void settle_running(FamilyState& state, const wire::CallRecord& call, base::Millis now_unix,
-                    const base::Knobs& knobs, DueOrders& orders) {
+                    const base::Knobs& knobs, DueActions& orders) {
   const auto& program = call.call.program;
   if (now_unix < overdue_at(call, knobs)) {
     if (now_unix < call.started_at_unix_ms + knobs.gateway_check_interval) return;
@@ -47,7 +47,7 @@
 }
 
 void settle_program(FamilyState& state, const std::string& program, base::Millis now_unix,
-                    const base::Knobs& knobs, DueOrders& orders) {
+                    const base::Knobs& knobs, DueActions& orders) {
   const auto& record = *state.find(program);
   for (const auto& backend : record.evictions_owed) orders.evictions.push_back({program, backend});
   const auto* call = last_call(record);
@@ -94,8 +94,8 @@
 
 }  // namespace
 
-DueOrders settle_due(FamilyState& state, base::Millis now_unix, const base::Knobs& knobs) {
-  DueOrders orders;
+DueActions process_due_work(FamilyState& state, base::Millis now_unix, const base::Knobs& knobs) {
+  DueActions orders;
   std::vector<std::string> programs;
   for (const auto& [id, record] : state.programs()) programs.push_back(id);
   for (const auto& program : programs) settle_program(state, program, now_unix, knobs, orders);
@@ -107,7 +107,8 @@
   return orders;
 }
 
-base::Millis next_due(const FamilyState& state, base::Millis now_unix, const base::Knobs& knobs) {
+base::Millis next_due_at(const FamilyState& state, base::Millis now_unix,
+                         const base::Knobs& knobs) {
   if (state.finished()) return last_change(state) + knobs.retention;
   auto due = now_unix + knobs.idle_limit;
   for (const auto& [id, record] : state.programs()) {
@@ -117,8 +118,8 @@
   return due;
 }
 
-void settle_inquiry(FamilyState& state, const InquiryAnswer& answer, base::Millis now_unix) {
-  if (answer.verdict == InquiryAnswer::Verdict::kOpen) return;
+void apply_inquiry_answer(FamilyState& state, const InquiryAnswer& answer, base::Millis now_unix) {
+  if (answer.verdict == InquiryAnswer::Verdict::kUndetermined) return;
   const auto& inquiry = answer.inquiry;
   auto ended = ending(inquiry.program, inquiry.sequence, inquiry.attempt, wire::Outcome::kNotRun);
   if (answer.verdict == InquiryAnswer::Verdict::kRan) {
@@ -130,7 +131,7 @@
   state.end(ended, now_unix);
 }
 
-void settle_lost_attempt(FamilyState& state, const GatewayCheck& check, base::Millis now_unix) {
+void mark_attempt_lost(FamilyState& state, const GatewayCheck& check, base::Millis now_unix) {
   const auto* record = state.find(check.program);
   const auto* call = record == nullptr ? nullptr : last_call(*record);
   const bool running =
--- a/src/program/due_work.hpp
+++ b/src/program/due_work.hpp
@@ -10,13 +10,13 @@
 namespace sailgate::program {
 
 /// Ask an engine to drop what it caches of an ended program.
-struct EvictionOrder {
+struct EvictionRequest {
   std::string program;
   std::string backend;
 };
 
 /// Stop an attempt that was given up.
-struct CancelOrder {
+struct CancelRequest {
   std::string backend;
   std::int64_t attempt = 0;
 };
@@ -32,9 +32,9 @@
 
 /// Answer of an application engine. Once it says kNotRun, it refuses the attempt from then on.
 struct InquiryAnswer {
-  enum class Verdict { kOpen, kRan, kNotRun };
+  enum class Verdict { kUndetermined, kRan, kNotRun };
   OutcomeInquiry inquiry;
-  Verdict verdict = Verdict::kOpen;
+  Verdict verdict = Verdict::kUndetermined;
   wire::ErrorKind::type error = wire::ErrorKind::kNone;
   std::string result;
 };
@@ -49,22 +49,22 @@
 };
 
 /// Calls to be made once the family's changes are stored.
-struct DueOrders {
-  std::vector<EvictionOrder> evictions;
-  std::vector<CancelOrder> cancels;
+struct DueActions {
+  std::vector<EvictionRequest> evictions;
+  std::vector<CancelRequest> cancels;
   std::vector<OutcomeInquiry> inquiries;
   std::vector<GatewayCheck> checks;
   bool remove_family = false;  ///< nothing is owed any more and nobody may come back
 };
 
 /// Does what is due now and collects the calls it needs.
-DueOrders settle_due(FamilyState& state, base::Millis now_unix, const base::Knobs& knobs);
+DueActions process_due_work(FamilyState& state, base::Millis now_unix, const base::Knobs& knobs);
 /// When somebody must look at the family again.
-base::Millis next_due(const FamilyState& state, base::Millis now_unix, const base::Knobs& knobs);
+base::Millis next_due_at(const FamilyState& state, base::Millis now_unix, const base::Knobs& knobs);
 
 /// Ending that an inquiry's answer proves; nothing while it is open.
-void settle_inquiry(FamilyState& state, const InquiryAnswer& answer, base::Millis now_unix);
+void apply_inquiry_answer(FamilyState& state, const InquiryAnswer& answer, base::Millis now_unix);
 /// The process that ran an attempt is gone, or says that it does not run it.
-void settle_lost_attempt(FamilyState& state, const GatewayCheck& check, base::Millis now_unix);
+void mark_attempt_lost(FamilyState& state, const GatewayCheck& check, base::Millis now_unix);
 
 }  // namespace sailgate::program
--- a/src/program/family_rows.cpp
+++ b/src/program/family_rows.cpp
@@ -118,23 +118,23 @@
 
 }  // namespace
 
-std::string FamilyRows::part_of(const std::string& family) const {
+std::string FamilyRows::partition_of(const std::string& family) const {
   const auto digest = static_cast<std::uint64_t>(base::fast_digest(family));
   return std::to_string(digest % static_cast<std::uint64_t>(parts_));
 }
 
 store::RowId FamilyRows::record_id(const std::string& family) const {
-  return {kProgramTable, part_of(family), family};
+  return {kProgramTable, partition_of(family), family};
 }
 
 store::RowId FamilyRows::due_id(const std::string& family) const {
-  return {kDueTable, part_of(family), family};
+  return {kDueTable, partition_of(family), family};
 }
 
-store::RangeRead FamilyRows::whole(const std::string& family) const {
+store::RangeRead FamilyRows::family_range(const std::string& family) const {
   store::RangeRead range;
   range.table = kProgramTable;
-  range.part = part_of(family);
+  range.part = partition_of(family);
   range.from_key = family;
   range.to_key = family + kAfterFamily;
   return range;
@@ -165,10 +165,10 @@
   return stored;
 }
 
-std::optional<store::Transaction> FamilyRows::changes(const std::string& family,
-                                                      const FamilyState& state,
-                                                      std::int64_t version,
-                                                      base::Millis due_at_unix) const {
+std::optional<store::Transaction> FamilyRows::build_update(const std::string& family,
+                                                           const FamilyState& state,
+                                                           std::int64_t version,
+                                                           base::Millis due_at_unix) const {
   store::Transaction transaction;
   transaction.conditions.push_back({record_id(family), version});
   store::Row record;
@@ -183,12 +183,13 @@
   due_row.id = due_id(family);
   due_row.value = wire::encode(due);
   transaction.puts.push_back(std::move(due_row));
-  for (const auto& change : state.text_changes()) add_text(part_of(family), change, transaction);
+  for (const auto& change : state.text_changes())
+    add_text(partition_of(family), change, transaction);
   return transaction;
 }
 
-store::Transaction FamilyRows::removal(const std::string& family,
-                                       const StoredFamily& stored) const {
+store::Transaction FamilyRows::build_removal(const std::string& family,
+                                             const StoredFamily& stored) const {
   store::Transaction transaction;
   transaction.conditions.push_back({record_id(family), stored.version});
   const auto count = std::min(stored.text_rows.size(), kRemovalsAtOnce);
@@ -200,7 +201,7 @@
   return transaction;
 }
 
-store::RangeRead FamilyRows::due(std::int32_t part, const std::string& after) const {
+store::RangeRead FamilyRows::due_range(std::int32_t part, const std::string& after) const {
   store::RangeRead range;
   range.table = kDueTable;
   range.part = std::to_string(part);
@@ -208,7 +209,7 @@
   return range;
 }
 
-base::Millis FamilyRows::due_at(const store::Row& row) {
+base::Millis FamilyRows::decode_due_time(const store::Row& row) {
   return wire::decode<wire::DueRow>(row.value).due_at_unix_ms;
 }
 
--- a/src/program/family_rows.hpp
+++ b/src/program/family_rows.hpp
@@ -23,27 +23,28 @@
 /// Names, formats and sizes. Immutable.
 class FamilyRows {
  public:
-  /// @param parts number of parts the families are spread over.
-  explicit FamilyRows(std::int32_t parts) : parts_(parts) {}
+  /// @param partition_count number of partitions that families are spread over.
+  explicit FamilyRows(std::int32_t partition_count) : parts_(partition_count) {}
 
-  std::string part_of(const std::string& family) const;
-  std::int32_t parts() const { return parts_; }
+  std::string partition_of(const std::string& family) const;
+  std::int32_t partition_count() const { return parts_; }
 
   /// All rows of a family.
-  store::RangeRead whole(const std::string& family) const;
+  store::RangeRead family_range(const std::string& family) const;
   /// @throws std::exception when a row cannot be read.
   StoredFamily load(const std::string& family, const std::vector<store::Row>& rows,
                     std::shared_ptr<const ProgramRules> rules) const;
 
   /// What stores the changes of `state`. nullopt: the family has become too large for its record.
-  std::optional<store::Transaction> changes(const std::string& family, const FamilyState& state,
-                                            std::int64_t version, base::Millis due_at_unix) const;
+  std::optional<store::Transaction> build_update(const std::string& family,
+                                                 const FamilyState& state, std::int64_t version,
+                                                 base::Millis due_at_unix) const;
   /// What removes a finished family, or a part of its texts when there are too many at once.
-  store::Transaction removal(const std::string& family, const StoredFamily& stored) const;
+  store::Transaction build_removal(const std::string& family, const StoredFamily& stored) const;
 
   /// Families of a part with the times at which somebody must look at them.
-  store::RangeRead due(std::int32_t part, const std::string& after) const;
-  static base::Millis due_at(const store::Row& row);
+  store::RangeRead due_range(std::int32_t part, const std::string& after) const;
+  static base::Millis decode_due_time(const store::Row& row);
 
  private:
   store::RowId record_id(const std::string& family) const;
@@ -53,6 +54,6 @@
 };
 
 /// Longest text of a call that fits one transaction.
-constexpr std::size_t kLongestText = 512U << 10U;
+constexpr std::size_t kMaxTextBytes = 512U << 10U;
 
 }  // namespace sailgate::program
--- a/src/program/family_state.cpp
+++ b/src/program/family_state.cpp
@@ -132,7 +132,7 @@
   if (call.call.sequence != ended.sequence) return Kind::kUnknownCall;
   if (!rules_->ending_matches(call, ended)) return Kind::kUnknownCall;
   note_change(*record, now_unix);
-  if (record->ended) owe_eviction_again(*record, call.backend);
+  if (record->ended) restore_owed_eviction(*record, call.backend);
   switch (ended.outcome) {
     case wire::Outcome::kNotRun:
       if (call.attempts > 1) {
@@ -173,7 +173,7 @@
 }
 
 /// An engine may have cached the program again after its eviction: it owes another one.
-void FamilyState::owe_eviction_again(wire::ProgramRecord& record, const std::string& backend) {
+void FamilyState::restore_owed_eviction(wire::ProgramRecord& record, const std::string& backend) {
   auto& owed = record.evictions_owed;
   const bool owes = std::find(owed.begin(), owed.end(), backend) != owed.end();
   const auto& used = record.backends_used;
--- a/src/program/family_state.hpp
+++ b/src/program/family_state.hpp
@@ -82,7 +82,7 @@
   static void hold_reservation(wire::ProgramRecord& record, wire::CallRecord& call);
   static void drop_reservation(wire::ProgramRecord& record, wire::CallRecord& call);
   void close_program(wire::ProgramRecord& record, base::Millis now_unix);
-  void owe_eviction_again(wire::ProgramRecord& record, const std::string& backend);
+  void restore_owed_eviction(wire::ProgramRecord& record, const std::string& backend);
   void release_call(wire::ProgramRecord& record);
   void finish_call(wire::ProgramRecord& record, wire::CallRecord& call,
                    const wire::AttemptEnded& ended);
--- a/src/program/family_update.cpp
+++ b/src/program/family_update.cpp
@@ -20,11 +20,11 @@
   next_ = std::make_shared<FamilyState>(*stored_.state);
   change_(*next_);
   if (removing_ && !stored_.state->empty() && stored_.state->finished()) {
-    return context_.rows.removal(family_, stored_);
+    return context_.rows.build_removal(family_, stored_);
   }
   if (!next_->changed()) return std::nullopt;
-  const auto due_at = next_due(*next_, context_.now_unix(), context_.knobs);
-  auto transaction = context_.rows.changes(family_, *next_, stored_.version, due_at);
+  const auto due_at = next_due_at(*next_, context_.now_unix(), context_.knobs);
+  auto transaction = context_.rows.build_update(family_, *next_, stored_.version, due_at);
   too_large_ = !transaction.has_value();
   return transaction;
 }
--- a/src/program/request_decision.cpp
+++ b/src/program/request_decision.cpp
@@ -46,7 +46,7 @@
   scheduling::CallContext call_context;
   call_context.target_kind = asked.call.target_kind;
   call_context.target = asked.call.target;
-  call_context.used_before = record->backends_used;
+  call_context.engines_with_prefix = record->backends_used;
   call_context.zone = context.zone;
   const auto choice = context.chooser.choose(call_context, context.backends);
   if (choice.error != Kind::kNone) return call_refusal(choice.error, call);
--- a/src/scheduling/backend_choice.cpp
+++ b/src/scheduling/backend_choice.cpp
@@ -10,7 +10,7 @@
 constexpr double kSameZoneBonus = 0.5;
 
 double score(const CallContext& call, const BackendState& state) {
-  const auto& used = call.used_before;
+  const auto& used = call.engines_with_prefix;
   const bool cached = !used.empty() && used.back() == state.backend.id;
   const double load = std::max(state.outstanding, state.reported_load);
   double total = -load;
--- a/src/scheduling/backend_choice.hpp
+++ b/src/scheduling/backend_choice.hpp
@@ -12,9 +12,10 @@
 /// What the decision may look at.
 struct CallContext {
   wire::TargetKind::type target_kind = wire::TargetKind::kEngine;
-  std::string target;                    ///< model, operation or tool
-  std::vector<std::string> used_before;  ///< engines that hold the program's prefix, oldest first
-  std::string zone;                      ///< zone of the deciding node
+  std::string target;  ///< model, operation or tool
+  std::vector<std::string>
+      engines_with_prefix;  ///< engines that hold the program's prefix, oldest first
+  std::string zone;         ///< zone of the deciding node
 };
 
 /// A back end, or why there is none.
--- a/src/simulation/sabotage.cpp
+++ b/src/simulation/sabotage.cpp
@@ -70,7 +70,7 @@
 };
 
 class ServeWithoutLease : public configuration::LeaseRules {
-  bool lease_live(base::Millis, base::Millis) const override { return true; }
+  bool lease_valid(base::Millis, base::Millis) const override { return true; }
 };
 
 class AcceptAtOnce : public configuration::LeaseRules {
--- a/src/simulation/simulated_node.cpp
+++ b/src/simulation/simulated_node.cpp
@@ -76,7 +76,7 @@
 }
 
 bool SimulatedNode::serving() const {
-  return process_ != nullptr && !frozen_ && process_->configuration.live(local_now());
+  return process_ != nullptr && !frozen_ && process_->configuration.has_valid_lease(local_now());
 }
 
 std::int64_t SimulatedNode::generation() const {
@@ -127,7 +127,7 @@
   const auto asked_at = local_now();
   const auto take = once<StoreResult>([this, asked_at](const StoreResult& result) {
     if (result.status != store::StoreStatus::kDone) return;
-    process_->configuration.on_read(configuration::configuration_of(result.rows), asked_at);
+    process_->configuration.on_read(configuration::configuration_from_rows(result.rows), asked_at);
     cluster_.oracle().generation_held(host_, process_->configuration.generation());
   });
   cluster_.table().read(host_, configuration::configuration_range(), take);
@@ -137,21 +137,21 @@
 
 void SimulatedNode::sweep() {
   const auto& rows = family_context_.rows;
-  const auto part = process_->next_part++ % rows.parts();
+  const auto part = process_->next_part++ % rows.partition_count();
   const auto take = once<StoreResult>([this](const StoreResult& result) {
     for (const auto& row : result.rows) {
-      if (program::FamilyRows::due_at(row) <= local_now()) settle_family(row.id.key);
+      if (program::FamilyRows::decode_due_time(row) <= local_now()) settle_family(row.id.key);
     }
   });
-  cluster_.table().read(host_, rows.due(part, ""), take);
+  cluster_.table().read(host_, rows.due_range(part, ""), take);
 }
 
 void SimulatedNode::settle_family(const std::string& family) {
-  auto orders = std::make_shared<program::DueOrders>();
+  auto orders = std::make_shared<program::DueActions>();
   change_family(
       family,
       [this, orders](program::FamilyState& state) {
-        *orders = program::settle_due(state, local_now(), cluster_.knobs());
+        *orders = program::process_due_work(state, local_now(), cluster_.knobs());
       },
       kSettlePatience,
       [this, family, orders](bool decided, const program::FamilyUpdate&) {
@@ -159,7 +159,7 @@
       });
 }
 
-void SimulatedNode::carry_out(const std::string& family, const program::DueOrders& orders) {
+void SimulatedNode::carry_out(const std::string& family, const program::DueActions& orders) {
   for (const auto& order : orders.evictions) {
     const auto evicted = once<bool>([this, family, order](bool) {
       wire::EvictionAcknowledged acknowledged;
@@ -184,7 +184,7 @@
           change_family(
               family,
               [this, answer](program::FamilyState& state) {
-                program::settle_inquiry(state, answer, local_now());
+                program::apply_inquiry_answer(state, answer, local_now());
               },
               kSettlePatience, [](bool, const program::FamilyUpdate&) {});
         });
@@ -202,7 +202,7 @@
     change_family(
         family,
         [this, check](program::FamilyState& state) {
-          program::settle_lost_attempt(state, check, local_now());
+          program::mark_attempt_lost(state, check, local_now());
         },
         kSettlePatience, [](bool, const program::FamilyUpdate&) {});
   });
@@ -250,9 +250,9 @@
   auto subject = std::make_unique<program::FamilyUpdate>(family_context_, family, cached, change);
   auto* family_update = subject.get();
   auto update = std::make_shared<Update>();
-  update->steps = std::make_unique<store::OptimisticUpdate>(*cluster_.policies().update, *subject,
-                                                            family_context_.rows.whole(family),
-                                                            known, local_now() + patience);
+  update->steps = std::make_unique<store::OptimisticUpdate>(
+      *cluster_.policies().update, *subject, family_context_.rows.family_range(family), known,
+      local_now() + patience);
   update->subject = std::move(subject);
   update->done = [this, family, family_update, done](bool decided) {
     if (decided) process_->families[family] = family_update->stored();
@@ -299,7 +299,7 @@
                          const Answer& answer) {
   run_or_defer([this, signed_bundle, patience, answer] {
     auto subject =
-        std::make_unique<configuration::BundleRoll>(signed_bundle, cluster_.partner_keys());
+        std::make_unique<configuration::BundleRollout>(signed_bundle, cluster_.partner_keys());
     auto* bundle_roll = subject.get();
     auto update = std::make_shared<Update>();
     update->steps = std::make_unique<store::OptimisticUpdate>(*cluster_.policies().update, *subject,
@@ -319,7 +319,7 @@
       }
       reply = program::accepted_reply(std::to_string(bundle_roll->configuration().generation));
       const bool wait = cluster_.policies().lease->wait_for_leases();
-      post(wait ? configuration::time_until_in_force(cluster_.knobs()) : 0,
+      post(wait ? configuration::activation_delay(cluster_.knobs()) : 0,
            [answer, reply] { answer(reply); });
     };
     run_update(update, update->steps->start());
@@ -329,7 +329,7 @@
 void SimulatedNode::handle_call(const wire::AdmitCall& admit, bool first_send,
                                 base::Millis patience, const Answer& answer) {
   run_or_defer([this, admit, first_send, patience, answer] {
-    if (!process_->configuration.live(local_now())) {
+    if (!process_->configuration.has_valid_lease(local_now())) {
       auto reply = program::refusal_reply(wire::ErrorKind::kConfigurationStale);
       if (!first_send) reply.refusal.ran = wire::Ran::kUnknown;
       answer(reply);
--- a/src/simulation/simulated_node.hpp
+++ b/src/simulation/simulated_node.hpp
@@ -106,7 +106,7 @@
   void read_configuration();
   void sweep();
   void settle_family(const std::string& family);
-  void carry_out(const std::string& family, const program::DueOrders& orders);
+  void carry_out(const std::string& family, const program::DueActions& orders);
   void check_gateway(const std::string& family, const program::GatewayCheck& check);
 
   void run_update(const UpdatePointer& update, const store::OptimisticUpdate::Step& step);
--- a/tests/configuration/bundle_roll_test.cpp
+++ b/tests/configuration/bundle_roll_test.cpp
@@ -7,7 +7,7 @@
 #include "simulation/simulated_operator.hpp"
 
 using namespace sailgate;
-using configuration::BundleRoll;
+using configuration::BundleRollout;
 using Kind = store::OptimisticUpdate::Step::Kind;
 
 namespace {
@@ -37,13 +37,14 @@
                                       : update.on_write(table.transact(step.write), 0);
     }
   }
-  void roll(BundleRoll& subject) {
+  void roll(BundleRollout& subject) {
     store::OptimisticUpdate update(kRules, subject, configuration::configuration_range(), false,
                                    1000);
     finish(update, update.start());
   }
   wire::Configuration stored() {
-    return configuration::configuration_of(table.read(configuration::configuration_range()).rows);
+    return configuration::configuration_from_rows(
+        table.read(configuration::configuration_range()).rows);
   }
 };
 
@@ -54,7 +55,7 @@
 }
 
 TEST_CASE_METHOD(Fixture, "a bundle signed by all partners is stored", "[configuration]") {
-  BundleRoll subject(bundle("federation", 1, 0), keys);
+  BundleRollout subject(bundle("federation", 1, 0), keys);
   roll(subject);
   REQUIRE_FALSE(subject.refusal());
   REQUIRE(stored().generation == 1);
@@ -63,15 +64,15 @@
 TEST_CASE_METHOD(Fixture, "a bundle without a partner's signature is refused", "[configuration]") {
   auto unsigned_bundle = bundle("federation", 1, 0);
   unsigned_bundle.signatures.pop_back();
-  BundleRoll subject(unsigned_bundle, keys);
+  BundleRollout subject(unsigned_bundle, keys);
   roll(subject);
   REQUIRE(subject.refusal()->kind == wire::ErrorKind::kBundleRefused);
   REQUIRE(stored().generation == 0);
 }
 
 TEST_CASE_METHOD(Fixture, "of two operators who race one is told who won", "[configuration]") {
-  BundleRoll first(bundle("federation", 1, 0), keys);
-  BundleRoll second(bundle("pharmacy", 7, 0), keys);
+  BundleRollout first(bundle("federation", 1, 0), keys);
+  BundleRollout second(bundle("pharmacy", 7, 0), keys);
   store::OptimisticUpdate early(kRules, second, configuration::configuration_range(), false, 1000);
   const auto read = early.start();
   const auto write = early.on_read(table.read(read.read), 0);
@@ -82,9 +83,9 @@
 }
 
 TEST_CASE_METHOD(Fixture, "a bundle that is rolled again is not taken twice", "[configuration]") {
-  BundleRoll first(bundle("federation", 1, 0), keys);
+  BundleRollout first(bundle("federation", 1, 0), keys);
   roll(first);
-  BundleRoll again(bundle("federation", 1, 0), keys);
+  BundleRollout again(bundle("federation", 1, 0), keys);
   roll(again);
   REQUIRE_FALSE(again.refusal());
   REQUIRE(again.configuration().generation == 1);
@@ -94,16 +95,16 @@
 TEST_CASE("a node serves only for its lease after it read the configuration", "[configuration]") {
   const base::Knobs knobs;
   configuration::ConfigurationHolder holder(knobs, std::make_shared<configuration::LeaseRules>());
-  REQUIRE_FALSE(holder.live(0));
+  REQUIRE_FALSE(holder.has_valid_lease(0));
   wire::Configuration read;
   read.generation = 2;
   holder.on_read(read, 1000);
-  REQUIRE(holder.live(1000 + knobs.configuration_lease - 1));
-  REQUIRE_FALSE(holder.live(1000 + knobs.configuration_lease));
+  REQUIRE(holder.has_valid_lease(1000 + knobs.configuration_lease - 1));
+  REQUIRE_FALSE(holder.has_valid_lease(1000 + knobs.configuration_lease));
   // An answer from before says nothing of what is in force now.
   read.generation = 1;
   holder.on_read(read, 3000);
   REQUIRE(holder.generation() == 2);
-  REQUIRE_FALSE(holder.live(1000 + knobs.configuration_lease));
-  REQUIRE(configuration::time_until_in_force(knobs) > knobs.configuration_lease);
+  REQUIRE_FALSE(holder.has_valid_lease(1000 + knobs.configuration_lease));
+  REQUIRE(configuration::activation_delay(knobs) > knobs.configuration_lease);
 }
--- a/tests/configuration/signing_test.cpp
+++ b/tests/configuration/signing_test.cpp
@@ -43,22 +43,22 @@
 
 TEST_CASE("both partners must sign", "[configuration]") {
   auto bundle = signed_by_both(bundle_of("federation"));
-  REQUIRE(problem_with_signatures(bundle, kKeys).empty());
+  REQUIRE(verify_signatures(bundle, kKeys).empty());
   bundle.signatures.pop_back();
-  REQUIRE_FALSE(problem_with_signatures(bundle, kKeys).empty());
+  REQUIRE_FALSE(verify_signatures(bundle, kKeys).empty());
 }
 
 TEST_CASE("a signature of the wrong partner or over another bundle is refused", "[configuration]") {
   auto bundle = signed_by_both(bundle_of("federation"));
   bundle.signatures[1] = sign(bundle.bundle, "pharmacy", kFederation.secret_key);
-  REQUIRE_FALSE(problem_with_signatures(bundle, kKeys).empty());
+  REQUIRE_FALSE(verify_signatures(bundle, kKeys).empty());
   bundle = signed_by_both(bundle_of("federation"));
   bundle.bundle.version = 2;
-  REQUIRE_FALSE(problem_with_signatures(bundle, kKeys).empty());
+  REQUIRE_FALSE(verify_signatures(bundle, kKeys).empty());
   // Replayed on another generation.
   bundle = signed_by_both(bundle_of("federation"));
   bundle.bundle.builds_on = 7;
-  REQUIRE_FALSE(problem_with_signatures(bundle, kKeys).empty());
+  REQUIRE_FALSE(verify_signatures(bundle, kKeys).empty());
 }
 
 TEST_CASE("the digest does not depend on the order of lists", "[configuration]") {
@@ -78,15 +78,15 @@
 TEST_CASE("reservations of both partners must fit together", "[configuration]") {
   auto theirs = bundle_of("pharmacy");
   theirs.reservations = {reservation(60)};
-  const auto in_force = with_bundle({}, theirs);
+  const auto in_force = apply_bundle({}, theirs);
   auto ours = bundle_of("federation");
   ours.reservations = {reservation(40)};
-  REQUIRE(problem_together(ours, in_force).empty());
+  REQUIRE(validate_in_configuration(ours, in_force).empty());
   ours.reservations = {reservation(41)};
-  REQUIRE_FALSE(problem_together(ours, in_force).empty());
+  REQUIRE_FALSE(validate_in_configuration(ours, in_force).empty());
 }
 
 TEST_CASE("an older version of a partner's bundle is refused", "[configuration]") {
-  const auto in_force = with_bundle({}, bundle_of("federation"));
-  REQUIRE_FALSE(problem_together(bundle_of("federation"), in_force).empty());
+  const auto in_force = apply_bundle({}, bundle_of("federation"));
+  REQUIRE_FALSE(validate_in_configuration(bundle_of("federation"), in_force).empty());
 }
--- a/tests/program/due_work_test.cpp
+++ b/tests/program/due_work_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace sailgate;
 using program::FamilyState;
-using program::settle_due;
+using program::process_due_work;
 
 namespace {
 
@@ -51,14 +51,14 @@
 
 TEST_CASE_METHOD(Fixture, "an attempt under way is left alone", "[program]") {
   run_call(wire::TargetKind::kEngine);
-  const auto orders = settle_due(state, kStart + 10, kKnobs);
+  const auto orders = process_due_work(state, kStart + 10, kKnobs);
   REQUIRE(orders.checks.empty());
   REQUIRE_FALSE(state.changed());
 }
 
 TEST_CASE_METHOD(Fixture, "an attempt that takes long has its gateway asked", "[program]") {
   run_call(wire::TargetKind::kEngine);
-  const auto orders = settle_due(state, kStart + kKnobs.gateway_check_interval, kKnobs);
+  const auto orders = process_due_work(state, kStart + kKnobs.gateway_check_interval, kKnobs);
   REQUIRE(orders.checks.size() == 1);
   REQUIRE(orders.checks.front().gateway == 3);
   // The next one to look sees that somebody asks.
@@ -68,16 +68,16 @@
 
 TEST_CASE_METHOD(Fixture, "an attempt whose gateway is gone may be made again", "[program]") {
   run_call(wire::TargetKind::kEngine);
-  const auto orders = settle_due(state, kStart + kKnobs.gateway_check_interval, kKnobs);
-  program::settle_lost_attempt(state, orders.checks.front(), kStart + 3000);
+  const auto orders = process_due_work(state, kStart + kKnobs.gateway_check_interval, kKnobs);
+  program::mark_attempt_lost(state, orders.checks.front(), kStart + 3000);
   REQUIRE(phase() == wire::CallPhase::kAdmitted);
 }
 
 TEST_CASE_METHOD(Fixture, "an overdue attempt is given up and cancelled", "[program]") {
   run_call(wire::TargetKind::kEngine);
   const auto overdue = kStart + kDeadline + kKnobs.attempt_grace;
-  REQUIRE(program::next_due(state, kStart, kKnobs) <= overdue);
-  const auto orders = settle_due(state, overdue, kKnobs);
+  REQUIRE(program::next_due_at(state, kStart, kKnobs) <= overdue);
+  const auto orders = process_due_work(state, overdue, kKnobs);
   REQUIRE(orders.cancels.size() == 1);
   REQUIRE(phase() == wire::CallPhase::kAdmitted);
 }
@@ -85,26 +85,26 @@
 TEST_CASE_METHOD(Fixture, "an unknown outcome is asked for until it is known", "[program]") {
   run_call(wire::TargetKind::kApplication);
   const auto overdue = kStart + kDeadline + kKnobs.attempt_grace;
-  auto orders = settle_due(state, overdue, kKnobs);
+  auto orders = process_due_work(state, overdue, kKnobs);
   REQUIRE(orders.inquiries.size() == 1);
   program::InquiryAnswer answer;
   answer.inquiry = orders.inquiries.front();
-  program::settle_inquiry(state, answer, overdue);
+  program::apply_inquiry_answer(state, answer, overdue);
   REQUIRE(phase() == wire::CallPhase::kUnknown);
-  REQUIRE(program::next_due(state, overdue, kKnobs) <= overdue + kKnobs.inquiry_interval);
+  REQUIRE(program::next_due_at(state, overdue, kKnobs) <= overdue + kKnobs.inquiry_interval);
   answer.verdict = program::InquiryAnswer::Verdict::kRan;
   answer.result = "done";
-  program::settle_inquiry(state, answer, overdue);
+  program::apply_inquiry_answer(state, answer, overdue);
   REQUIRE(phase() == wire::CallPhase::kDone);
 }
 
 TEST_CASE_METHOD(Fixture, "a call proved not run is as if it had not been made", "[program]") {
   run_call(wire::TargetKind::kApplication);
-  auto orders = settle_due(state, kStart + kDeadline + kKnobs.attempt_grace, kKnobs);
+  auto orders = process_due_work(state, kStart + kDeadline + kKnobs.attempt_grace, kKnobs);
   program::InquiryAnswer answer;
   answer.inquiry = orders.inquiries.front();
   answer.verdict = program::InquiryAnswer::Verdict::kNotRun;
-  program::settle_inquiry(state, answer, kStart + kDeadline);
+  program::apply_inquiry_answer(state, answer, kStart + kDeadline);
   REQUIRE(state.find("p")->calls.empty());
 }
 
@@ -117,7 +117,7 @@
   ended.attempt = 7;
   state.end(ended, kStart);
   close();
-  auto orders = settle_due(state, kStart, kKnobs);
+  auto orders = process_due_work(state, kStart, kKnobs);
   REQUIRE(orders.evictions.size() == 1);
   REQUIRE_FALSE(orders.remove_family);
   wire::EvictionAcknowledged acknowledged;
@@ -125,9 +125,9 @@
   acknowledged.backend = "backend";
   state.acknowledge_eviction(acknowledged);
   const auto over = kStart + kKnobs.retention;
-  REQUIRE(program::next_due(state, kStart, kKnobs) == over);
-  REQUIRE_FALSE(settle_due(state, over - 1, kKnobs).remove_family);
-  REQUIRE(settle_due(state, over, kKnobs).remove_family);
+  REQUIRE(program::next_due_at(state, kStart, kKnobs) == over);
+  REQUIRE_FALSE(process_due_work(state, over - 1, kKnobs).remove_family);
+  REQUIRE(process_due_work(state, over, kKnobs).remove_family);
 }
 
 TEST_CASE_METHOD(Fixture, "an idle program is ended, and a reported pause is no idleness",
@@ -139,8 +139,8 @@
   pause.program = "p";
   pause.expected_ms = 10'000;
   state.pause(pause, kStart);
-  settle_due(state, kStart + kKnobs.idle_limit, kKnobs);
+  process_due_work(state, kStart + kKnobs.idle_limit, kKnobs);
   REQUIRE_FALSE(state.find("p")->ended);
-  settle_due(state, kStart + kKnobs.idle_limit + pause.expected_ms, kKnobs);
+  process_due_work(state, kStart + kKnobs.idle_limit + pause.expected_ms, kKnobs);
   REQUIRE(state.find("p")->ended);
 }
--- a/tests/program/family_rows_test.cpp
+++ b/tests/program/family_rows_test.cpp
@@ -54,7 +54,7 @@
   }
   /// @return whether the state was stored.
   bool store() {
-    const auto changes = rows.changes("p", state, version, kNow);
+    const auto changes = rows.build_update("p", state, version, kNow);
     if (!changes) return false;
     const auto result = table.transact(*changes);
     REQUIRE(result.status == store::StoreStatus::kDone);
@@ -62,7 +62,9 @@
     state.mark_stored();
     return true;
   }
-  program::StoredFamily load() { return rows.load("p", table.read(rows.whole("p")).rows, kRules); }
+  program::StoredFamily load() {
+    return rows.load("p", table.read(rows.family_range("p")).rows, kRules);
+  }
 };
 
 }  // namespace
@@ -93,7 +95,8 @@
   wire::ProgramOpened opened;
   opened.program = "p0";
   other.open(opened, kNow);
-  REQUIRE(table.transact(*rows.changes("p0", other, 0, kNow)).status == store::StoreStatus::kDone);
+  REQUIRE(table.transact(*rows.build_update("p0", other, 0, kNow)).status ==
+          store::StoreStatus::kDone);
   REQUIRE(load().state->programs().size() == 1);
 }
 
@@ -101,7 +104,7 @@
   open("p");
   REQUIRE(store());
   REQUIRE(admit("p", 1, "a") == Kind::kNone);
-  const auto late = rows.changes("p", state, 0, kNow);
+  const auto late = rows.build_update("p", state, 0, kNow);
   REQUIRE(table.transact(*late).status == store::StoreStatus::kConflict);
   REQUIRE(load().state->find("p")->calls.empty());
 }
@@ -152,7 +155,7 @@
   }
   int transactions = 0;
   while (table.size() > 0) {
-    REQUIRE(table.transact(rows.removal("p", load())).status == store::StoreStatus::kDone);
+    REQUIRE(table.transact(rows.build_removal("p", load())).status == store::StoreStatus::kDone);
     REQUIRE(++transactions < 10);
   }
 }
@@ -160,10 +163,10 @@
 TEST_CASE_METHOD(Fixture, "a part lists when its families are due", "[program]") {
   open("p");
   REQUIRE(store());
-  const auto part = std::stoi(rows.part_of("p"));
-  const auto due = table.read(rows.due(part, "")).rows;
+  const auto part = std::stoi(rows.partition_of("p"));
+  const auto due = table.read(rows.due_range(part, "")).rows;
   REQUIRE(due.size() == 1);
   REQUIRE(due.front().id.key == "p");
-  REQUIRE(program::FamilyRows::due_at(due.front()) == kNow);
-  REQUIRE(table.read(rows.due(part, "p")).rows.empty());
+  REQUIRE(program::FamilyRows::decode_due_time(due.front()) == kNow);
+  REQUIRE(table.read(rows.due_range(part, "p")).rows.empty());
 }
