--- a/src/configuration/bundle_check.cpp
+++ b/src/configuration/bundle_check.cpp
@@ -7,7 +7,7 @@
 namespace sailgate::configuration {
 namespace {
 
-constexpr std::int32_t kWholeShare = 100;
+constexpr std::int32_t kMaxSharePercent = 100;
 
 using Shares = std::map<std::string, std::int32_t>;
 
@@ -17,16 +17,17 @@
   }
 }
 
-std::string overbooked(const Shares& shares) {
+std::string describe_overcommitment(const Shares& shares) {
   for (const auto& [model, share] : shares) {
-    if (share > kWholeShare) {
-      return "reservations of model " + model + " add up to " + std::to_string(share) + " percent";
+    if (share > kMaxSharePercent) {
+      return "reservations of model " + model + " total " + std::to_string(share) +
+             " percent, more than 100";
     }
   }
   return {};
 }
 
-bool names_tenant(const wire::Bundle& bundle, const std::string& tenant) {
+bool defines_tenant(const wire::Bundle& bundle, const std::string& tenant) {
   return std::any_of(bundle.tenants.begin(), bundle.tenants.end(),
                      [&tenant](const wire::TenantRule& rule) { return rule.name == tenant; });
 }
@@ -34,55 +35,57 @@
 }  // namespace
 
 std::string validate_bundle(const wire::Bundle& bundle) {
-  if (bundle.partner.empty()) return "the bundle names no partner";
-  if (bundle.version < 1) return "the version must be at least 1";
+  if (bundle.partner.empty()) return "bundle has no partner name";
+  if (bundle.version < 1) return "bundle version must be at least 1";
   std::set<std::string> tenants;
   for (const auto& tenant : bundle.tenants) {
     if (!tenants.insert(tenant.name).second) return "tenant " + tenant.name + " is listed twice";
   }
   std::set<std::string> kinds;
   for (const auto& program : bundle.programs) {
-    if (!kinds.insert(program.kind).second) return "kind " + program.kind + " is listed twice";
+    if (!kinds.insert(program.kind).second)
+      return "program kind " + program.kind + " is listed twice";
   }
   for (const auto& reservation : bundle.reservations) {
-    const bool possible =
-        reservation.share_percent >= 1 && reservation.share_percent <= kWholeShare;
-    if (!possible) return "a reservation must be from 1 to 100 percent";
+    const bool in_range =
+        reservation.share_percent >= 1 && reservation.share_percent <= kMaxSharePercent;
+    if (!in_range) return "reservation share must be between 1 and 100 percent";
     if (kinds.count(reservation.kind) == 0)
-      return "reservation for unknown kind " + reservation.kind;
+      return "reservation for unknown program kind " + reservation.kind;
   }
-  for (const auto& wish : bundle.placements) {
-    if (kinds.count(wish.kind) == 0) return "placement for unknown kind " + wish.kind;
+  for (const auto& placement : bundle.placements) {
+    if (kinds.count(placement.kind) == 0)
+      return "placement for unknown program kind " + placement.kind;
   }
   Shares shares;
   add_shares(bundle, shares);
-  return overbooked(shares);
+  return describe_overcommitment(shares);
 }
 
 std::string validate_in_configuration(const wire::Bundle& bundle,
-                                      const wire::Configuration& in_force) {
+                                      const wire::Configuration& active) {
   Shares shares;
   add_shares(bundle, shares);
-  for (const auto& other : in_force.bundles) {
+  for (const auto& other : active.bundles) {
     if (other.partner == bundle.partner) {
       if (bundle.version > other.version) continue;
-      return "version " + std::to_string(bundle.version) + " is not newer than version " +
-             std::to_string(other.version) + " in force";
+      return "version " + std::to_string(bundle.version) + " is not newer than active version " +
+             std::to_string(other.version) + " of the same partner";
     }
     add_shares(other, shares);
     for (const auto& tenant : bundle.tenants) {
-      if (names_tenant(other, tenant.name)) {
-        return "tenant " + tenant.name + " belongs to partner " + other.partner;
+      if (defines_tenant(other, tenant.name)) {
+        return "tenant " + tenant.name + " already belongs to partner " + other.partner;
       }
     }
   }
-  return overbooked(shares);
+  return describe_overcommitment(shares);
 }
 
-wire::Configuration apply_bundle(const wire::Configuration& in_force, const wire::Bundle& bundle) {
+wire::Configuration apply_bundle(const wire::Configuration& active, const wire::Bundle& bundle) {
   wire::Configuration next;
-  next.generation = in_force.generation + 1;
-  for (const auto& other : in_force.bundles) {
+  next.generation = active.generation + 1;
+  for (const auto& other : active.bundles) {
     if (other.partner != bundle.partner) next.bundles.push_back(other);
   }
   next.bundles.push_back(bundle);
@@ -102,7 +105,7 @@
 const wire::ProgramRule* find_program(const wire::Configuration& configuration,
                                       const std::string& tenant, const std::string& kind) {
   for (const auto& bundle : configuration.bundles) {
-    if (!names_tenant(bundle, tenant)) continue;
+    if (!defines_tenant(bundle, tenant)) continue;
     for (const auto& rule : bundle.programs) {
       if (rule.kind == kind) return &rule;
     }
--- a/src/configuration/bundle_check.hpp
+++ b/src/configuration/bundle_check.hpp
@@ -1,4 +1,4 @@
-/// @file Checks of a bundle, alone and together with the other partners' bundles in force.
+/// @file Validation of configuration bundles, and look-ups in the active configuration.
 #pragma once
 
 #include <string>
@@ -7,19 +7,20 @@
 
 namespace sailgate::configuration {
 
-/// @return what is wrong with a bundle by itself, or an empty string.
+/// Validates a bundle on its own. @return a description of the first problem, or an empty string.
 std::string validate_bundle(const wire::Bundle& bundle);
 
-/// @return why a bundle does not fit the configuration it would join, or an empty string: the
-/// shares of a model's engines that partners reserve must fit together, and no tenant may belong to
-/// two.
+/// Validates a bundle against the active configuration: its version must be newer than the
+/// partner's active one, the shares that all partners reserve of a model's engines must not exceed
+/// 100 percent, and no tenant may belong to two partners.
+/// @return a description of the first problem, or an empty string.
 std::string validate_in_configuration(const wire::Bundle& bundle,
-                                      const wire::Configuration& in_force);
+                                      const wire::Configuration& active);
 
-/// The configuration after a bundle took effect.
-wire::Configuration apply_bundle(const wire::Configuration& in_force, const wire::Bundle& bundle);
+/// Returns the next generation, in which the bundle replaces the partner's previous one.
+wire::Configuration apply_bundle(const wire::Configuration& active, const wire::Bundle& bundle);
 
-/// Rules in force; nullptr when no bundle names the tenant or kind.
+/// Look up the rule of a tenant or of a program kind. @return nullptr if no bundle defines it.
 const wire::TenantRule* find_tenant(const wire::Configuration& configuration,
                                     const std::string& tenant);
 const wire::ProgramRule* find_program(const wire::Configuration& configuration,
--- a/src/configuration/bundle_roll.cpp
+++ b/src/configuration/bundle_roll.cpp
@@ -15,11 +15,12 @@
 constexpr const char* kTable = "configuration";
 constexpr const char* kKey = "in-force";
 
-std::string describe_winner(const wire::Configuration& in_force) {
-  auto text = "generation " + std::to_string(in_force.generation) + " is in force";
-  if (in_force.bundles.empty()) return text;
-  const auto& newest = in_force.bundles.back();
-  return text + ", by version " + std::to_string(newest.version) + " of partner " + newest.partner;
+std::string describe_active(const wire::Configuration& active) {
+  auto text = "generation " + std::to_string(active.generation) + " is already active";
+  if (active.bundles.empty()) return text;
+  const auto& newest = active.bundles.back();
+  return text + ", written by version " + std::to_string(newest.version) + " of partner " +
+         newest.partner;
 }
 
 }  // namespace
@@ -41,7 +42,7 @@
     : signed_bundle_(std::move(signed_bundle)), keys_(keys) {}
 
 void BundleRollout::load(std::vector<store::Row> rows) {
-  in_force_ = configuration_from_rows(rows);
+  active_ = configuration_from_rows(rows);
   version_ = rows.empty() ? 0 : rows.front().version;
 }
 
@@ -59,22 +60,22 @@
     refuse(Kind::kBundleRefused, problem);
     return std::nullopt;
   }
-  // An operator who lost the answer rolls the same bundle again.
-  const auto& bundles = in_force_.bundles;
+  // Idempotent: an operator who did not receive the response rolls out the same bundle again.
+  const auto& bundles = active_.bundles;
   if (std::find(bundles.begin(), bundles.end(), bundle) != bundles.end()) {
-    next_ = in_force_;
+    next_ = active_;
     return std::nullopt;
   }
-  if (bundle.builds_on != in_force_.generation) {
-    refuse(Kind::kBundleConflict, describe_winner(in_force_));
+  if (bundle.builds_on != active_.generation) {
+    refuse(Kind::kBundleConflict, describe_active(active_));
     return std::nullopt;
   }
-  problem = validate_in_configuration(bundle, in_force_);
+  problem = validate_in_configuration(bundle, active_);
   if (!problem.empty()) {
     refuse(Kind::kBundleRefused, problem);
     return std::nullopt;
   }
-  next_ = apply_bundle(in_force_, bundle);
+  next_ = apply_bundle(active_, bundle);
   store::Transaction transaction;
   const store::RowId id{kTable, "", kKey};
   transaction.conditions.push_back({id, version_});
--- a/src/configuration/bundle_roll.hpp
+++ b/src/configuration/bundle_roll.hpp
@@ -1,5 +1,5 @@
-/// @file Putting a signed bundle in force: a conditional write of the configuration's row, which
-/// decides between operators who race.
+/// @file Activation of a signed bundle by a conditional write of the configuration row. If several
+/// operators roll out bundles concurrently, exactly one write succeeds.
 #pragma once
 
 #include "configuration/signing.hpp"
@@ -7,12 +7,15 @@
 
 namespace sailgate::configuration {
 
-/// The one row that holds the configuration.
+/// Range that contains only the configuration row.
 store::RangeRead configuration_range();
-/// @throws std::exception when the row cannot be read. No row is generation 0.
+/// Decodes the configuration row; without a row the result is generation 0.
+/// @throws std::exception if the row cannot be decoded.
 wire::Configuration configuration_from_rows(const std::vector<store::Row>& rows);
 
-/// Subject of store::OptimisticUpdate. Not thread-safe.
+/// Validates a bundle and adds it to the configuration, as the subject of a
+/// store::OptimisticUpdate. Rolling out an already active bundle again succeeds without a write.
+/// Not thread-safe.
 class BundleRollout : public store::UpdateSubject {
  public:
   BundleRollout(wire::SignedBundle signed_bundle, const PartnerKeys& keys);
@@ -21,9 +24,9 @@
   std::optional<store::Transaction> evaluate() override;
   void written(std::int64_t version) override;
 
-  /// Why the bundle was not taken; not set when it is stored.
+  /// Reason why the bundle was rejected; empty if it was stored or already active.
   const std::optional<wire::Refusal>& refusal() const { return refusal_; }
-  /// The configuration that the bundle is part of, when it was taken.
+  /// Configuration that contains the bundle; valid only if there is no refusal.
   const wire::Configuration& configuration() const { return next_; }
 
  private:
@@ -31,7 +34,7 @@
 
   wire::SignedBundle signed_bundle_;
   const PartnerKeys& keys_;
-  wire::Configuration in_force_;
+  wire::Configuration active_;
   wire::Configuration next_;
   std::int64_t version_ = 0;
   std::optional<wire::Refusal> refusal_;
--- a/src/configuration/configuration_holder.cpp
+++ b/src/configuration/configuration_holder.cpp
@@ -4,11 +4,11 @@
 
 namespace sailgate::configuration {
 
-void ConfigurationHolder::on_read(wire::Configuration configuration, base::Millis asked_at) {
-  // NOTE: answers may come out of order; one that is older than what is held extends nothing.
+void ConfigurationHolder::on_read(wire::Configuration configuration, base::Millis requested_at) {
+  // Responses can arrive out of order; an older generation must not extend the lease.
   if (configuration.generation < configuration_.generation) return;
   configuration_ = std::move(configuration);
-  lease_until_ = std::max(lease_until_, asked_at + knobs_.configuration_lease);
+  lease_until_ = std::max(lease_until_, requested_at + knobs_.configuration_lease);
 }
 
 base::Millis activation_delay(const base::Knobs& knobs) {
--- a/src/configuration/configuration_holder.hpp
+++ b/src/configuration/configuration_holder.hpp
@@ -1,4 +1,4 @@
-/// @file The configuration a node serves under, and its lease on it.
+/// @file A node's copy of the configuration and the lease that permits it to serve under it.
 #pragma once
 
 #include <memory>
@@ -9,17 +9,19 @@
 
 namespace sailgate::configuration {
 
-/// A started process holds no lease and serves nothing until it has read the configuration, so that
-/// it cannot serve under an older generation than its predecessor. Not thread-safe.
+/// Holds the most recent configuration that was read. A new process has no lease and must not serve
+/// until it has read the configuration, so that it cannot serve under an older generation than the
+/// process it replaces. Not thread-safe.
 class ConfigurationHolder {
  public:
   ConfigurationHolder(const base::Knobs& knobs, std::shared_ptr<const LeaseRules> rules)
       : knobs_(knobs), rules_(std::move(rules)) {}
 
-  /// Takes what was read. @param asked_at when the reading began, on this process's clock.
-  void on_read(wire::Configuration configuration, base::Millis asked_at);
+  /// Applies a configuration read from the store and extends the lease.
+  /// @param requested_at start of the read on this process's clock; the lease counts from here.
+  void on_read(wire::Configuration configuration, base::Millis requested_at);
 
-  /// Whether this node may serve now.
+  /// Whether this node may serve requests now.
   bool has_valid_lease(base::Millis now) const { return rules_->lease_valid(now, lease_until_); }
   const wire::Configuration& configuration() const { return configuration_; }
   std::int64_t generation() const { return configuration_.generation; }
@@ -31,7 +33,8 @@
   base::Millis lease_until_ = 0;
 };
 
-/// Time after a configuration was stored at which no node serves under an older one any more.
+/// Time after the write of a configuration until no node can still serve under an older one: the
+/// lease plus a margin for clock drift.
 base::Millis activation_delay(const base::Knobs& knobs);
 
 }  // namespace sailgate::configuration
--- a/src/configuration/lease_rules.hpp
+++ b/src/configuration/lease_rules.hpp
@@ -1,15 +1,18 @@
-/// @file Under which configuration a node may serve.
+/// @file Rules that keep nodes from serving under an outdated configuration.
 ///
-///  1. A node serves only for a bounded time (the lease) after it began to read the configuration.
-///  2. A new configuration is answered as in force once every lease that may have begun before its
-///     write has run out, with a margin for clocks that drift apart.
+///  1. A node serves only for a bounded time (the lease) after it started to read the
+///  configuration.
+///  2. A new configuration is reported as active only after every lease that may have started
+///  before
+///     its write has expired, with a margin for clock drift.
 #pragma once
 
 #include "base/time.hpp"
 
 namespace sailgate::configuration {
 
-/// Rules a proof may replace.
+/// The checks are virtual so that a fault-injection test can disable one and show that the
+/// violation is detected.
 class LeaseRules {
  public:
   LeaseRules() = default;
@@ -17,9 +20,9 @@
   LeaseRules& operator=(const LeaseRules&) = delete;
   virtual ~LeaseRules() = default;
 
-  /// An accepted bundle may be answered only once no older lease can be live.
+  /// Whether the response to an accepted bundle waits until no older lease can be valid.
   virtual bool wait_for_leases() const { return true; }
-  /// A node serves only while its lease is live.
+  /// Whether a lease that ends at `until` is still valid at `now`.
   virtual bool lease_valid(base::Millis now, base::Millis until) const { return now < until; }
 };
 
--- a/src/configuration/signing.cpp
+++ b/src/configuration/signing.cpp
@@ -10,28 +10,32 @@
 namespace sailgate::configuration {
 namespace {
 
-/// Stands before every signed text, so that a signature cannot serve another purpose.
-constexpr const char* kContext = "sailgate bundle v1\n";
+/// Domain separator at the start of every signed message, so that a signature is not valid for any
+/// other purpose.
+constexpr const char* kSignatureContext = "sailgate bundle v1\n";
 
-const unsigned char* bytes(const std::string& text) {
-  return reinterpret_cast<const unsigned char*>(text.data());
+const unsigned char* bytes(const std::string& buffer) {
+  return reinterpret_cast<const unsigned char*>(buffer.data());
 }
 
-unsigned char* bytes(std::string& text) { return reinterpret_cast<unsigned char*>(text.data()); }
+unsigned char* bytes(std::string& buffer) {
+  return reinterpret_cast<unsigned char*>(buffer.data());
+}
 
-void initialize() {
-  if (sodium_init() < 0) throw std::runtime_error("libsodium cannot be initialized");
+void initialize_sodium() {
+  if (sodium_init() < 0) throw std::runtime_error("libsodium initialization failed");
 }
 
-std::string signed_text(const wire::Bundle& bundle, const std::string& partner) {
-  return kContext + partner + '\n' + bundle_digest(bundle);
+std::string signed_message(const wire::Bundle& bundle, const std::string& partner) {
+  return kSignatureContext + partner + '\n' + bundle_digest(bundle);
 }
 
 }  // namespace
 
 KeyPair key_pair_from_seed(const std::string& seed) {
-  initialize();
-  if (seed.size() != crypto_sign_SEEDBYTES) throw std::invalid_argument("a seed has 32 bytes");
+  initialize_sodium();
+  if (seed.size() != crypto_sign_SEEDBYTES)
+    throw std::invalid_argument("key seed must be 32 bytes");
   KeyPair pair;
   pair.public_key.resize(crypto_sign_PUBLICKEYBYTES);
   pair.secret_key.resize(crypto_sign_SECRETKEYBYTES);
@@ -40,7 +44,7 @@
 }
 
 KeyPair new_key_pair() {
-  initialize();
+  initialize_sodium();
   std::string seed(crypto_sign_SEEDBYTES, '\0');
   randombytes_buf(seed.data(), seed.size());
   return key_pair_from_seed(seed);
@@ -69,15 +73,15 @@
 
 wire::Signature sign(const wire::Bundle& bundle, const std::string& partner,
                      const std::string& secret_key) {
-  initialize();
+  initialize_sodium();
   if (secret_key.size() != crypto_sign_SECRETKEYBYTES) {
-    throw std::invalid_argument("a secret key has 64 bytes");
+    throw std::invalid_argument("secret key must be 64 bytes");
   }
-  const auto text = signed_text(bundle, partner);
+  const auto message = signed_message(bundle, partner);
   wire::Signature signature;
   signature.partner = partner;
   signature.bytes.resize(crypto_sign_BYTES);
-  crypto_sign_detached(bytes(signature.bytes), nullptr, bytes(text), text.size(),
+  crypto_sign_detached(bytes(signature.bytes), nullptr, bytes(message), message.size(),
                        bytes(secret_key));
   return signature;
 }
@@ -86,15 +90,15 @@
   const auto& bundle = signed_bundle.bundle;
   if (keys.count(bundle.partner) == 0) return "unknown partner " + bundle.partner;
   for (const auto& [partner, key] : keys) {
-    const auto text = signed_text(bundle, partner);
+    const auto message = signed_message(bundle, partner);
     const bool valid = std::any_of(
         signed_bundle.signatures.begin(), signed_bundle.signatures.end(),
         [&, &name = partner, &public_key = key](const wire::Signature& signature) {
           return signature.partner == name && signature.bytes.size() == crypto_sign_BYTES &&
-                 crypto_sign_verify_detached(bytes(signature.bytes), bytes(text), text.size(),
+                 crypto_sign_verify_detached(bytes(signature.bytes), bytes(message), message.size(),
                                              bytes(public_key)) == 0;
         });
-    if (!valid) return "no valid signature of partner " + partner;
+    if (!valid) return "missing or invalid signature of partner " + partner;
   }
   return {};
 }
--- a/src/configuration/signing.hpp
+++ b/src/configuration/signing.hpp
@@ -1,4 +1,4 @@
-/// @file Canonical digests and Ed25519 signatures of bundles (libsodium).
+/// @file Canonical digests and Ed25519 signatures of configuration bundles (libsodium).
 #pragma once
 
 #include <map>
@@ -8,30 +8,33 @@
 
 namespace sailgate::configuration {
 
-/// Public keys by partner name, raw bytes.
+/// Public keys as raw bytes, by partner name.
 using PartnerKeys = std::map<std::string, std::string>;
 
-/// Key pair of one partner, raw bytes.
+/// Ed25519 key pair of one partner as raw bytes.
 struct KeyPair {
   std::string public_key;
   std::string secret_key;
 };
 
-/// Key pair from 32 bytes of seed; the same seed gives the same pair.
+/// Derives a key pair deterministically from a seed.
+/// @throws std::invalid_argument if the seed is not 32 bytes long.
 KeyPair key_pair_from_seed(const std::string& seed);
-/// Fresh random key pair.
+/// Generates a random key pair.
 KeyPair new_key_pair();
 
-/// BLAKE2b-256 over the canonical form: lists sorted, Thrift compact encoding. It covers partner,
-/// version and the generation the bundle builds on, so that a signature cannot be used for another.
+/// BLAKE2b-256 digest of the canonical form (lists sorted, Thrift compact encoding). It covers the
+/// partner, the version and the generation that the bundle builds on, so that a signature cannot be
+/// replayed for another bundle or generation.
 std::string bundle_digest(const wire::Bundle& bundle);
 
-/// Signs on behalf of `partner`.
+/// Signs the bundle in the name of `partner`.
+/// @throws std::invalid_argument if the secret key is not 64 bytes long.
 wire::Signature sign(const wire::Bundle& bundle, const std::string& partner,
                      const std::string& secret_key);
 
-/// @return why the signatures do not suffice, or an empty string: each partner must have signed
-/// this very bundle.
+/// Checks that every partner in `keys` has signed exactly this bundle.
+/// @return a description of the first problem, or an empty string.
 std::string verify_signatures(const wire::SignedBundle& signed_bundle, const PartnerKeys& keys);
 
 }  // namespace sailgate::configuration
--- a/src/scheduling/backend_choice.cpp
+++ b/src/scheduling/backend_choice.cpp
@@ -5,13 +5,13 @@
 namespace sailgate::scheduling {
 namespace {
 
-/// Score terms, in units of "one running attempt less".
+/// Score bonuses. A bonus of 1 outweighs one additional running attempt.
 constexpr double kPrefixBonus = 4.0;
 constexpr double kSameZoneBonus = 0.5;
 
 double score(const CallContext& call, const BackendState& state) {
-  const auto& used = call.engines_with_prefix;
-  const bool cached = !used.empty() && used.back() == state.backend.id;
+  const auto& engines = call.engines_with_prefix;
+  const bool cached = !engines.empty() && engines.back() == state.backend.id;
   const double load = std::max(state.outstanding, state.reported_load);
   double total = -load;
   if (cached) total += kPrefixBonus;
--- a/src/scheduling/backend_directory.hpp
+++ b/src/scheduling/backend_directory.hpp
@@ -1,4 +1,4 @@
-/// @file Back ends a node may use, with what it knows of their load.
+/// @file Back ends available to a node and their last known load.
 #pragma once
 
 #include <cstdint>
@@ -12,25 +12,25 @@
 
 namespace sailgate::scheduling {
 
-/// Static description of one back end, from settings.
+/// Static description of one back end, taken from the settings.
 struct Backend {
   std::string id;  ///< "host:port"; unique
   wire::TargetKind::type kind = wire::TargetKind::kEngine;
   std::set<std::string> targets;  ///< models, operations or tool names it serves
   std::string zone;
-  std::int32_t capacity = 16;  ///< attempts one node may run on it at once
+  std::int32_t capacity = 16;  ///< maximum concurrent attempts from one node
 };
 
-/// Back end with its changing state.
+/// Back end and its run-time state.
 struct BackendState {
   Backend backend;
-  bool leaving = false;
-  std::int32_t outstanding = 0;    ///< attempts granted by this node and not ended
-  std::int32_t reported_load = 0;  ///< from the back end's last load report
+  bool leaving = false;            ///< accepts no new attempts
+  std::int32_t outstanding = 0;    ///< attempts that this node granted and that have not ended
+  std::int32_t reported_load = 0;  ///< load in the back end's most recent report
   base::Millis reported_at = 0;
 };
 
-/// Table of back ends. Not thread-safe; owned by the node's core.
+/// Table of back ends by id. Not thread-safe. Updates for an unknown id are ignored.
 class BackendDirectory {
  public:
   void add(Backend backend);
--- a/tests/configuration/bundle_roll_test.cpp
+++ b/tests/configuration/bundle_roll_test.cpp
@@ -14,17 +14,17 @@
 
 const store::UpdateRules kRules;
 
-wire::SignedBundle bundle(const std::string& partner, std::int64_t version,
-                          std::int64_t builds_on) {
-  wire::SignedBundle made;
-  made.bundle.partner = partner;
-  made.bundle.version = version;
-  made.bundle.builds_on = builds_on;
+wire::SignedBundle signed_bundle(const std::string& partner, std::int64_t version,
+                                 std::int64_t builds_on) {
+  wire::SignedBundle result;
+  result.bundle.partner = partner;
+  result.bundle.version = version;
+  result.bundle.builds_on = builds_on;
   for (const auto* signer : simulation::kPartners) {
-    made.signatures.push_back(
-        configuration::sign(made.bundle, signer, simulation::partner_key_pair(signer).secret_key));
+    result.signatures.push_back(configuration::sign(
+        result.bundle, signer, simulation::partner_key_pair(signer).secret_key));
   }
-  return made;
+  return result;
 }
 
 struct Fixture {
@@ -50,19 +50,19 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "without a row generation 0 is in force", "[configuration]") {
+TEST_CASE_METHOD(Fixture, "without a configuration row generation 0 is active", "[configuration]") {
   REQUIRE(stored().generation == 0);
 }
 
 TEST_CASE_METHOD(Fixture, "a bundle signed by all partners is stored", "[configuration]") {
-  BundleRollout subject(bundle("federation", 1, 0), keys);
+  BundleRollout subject(signed_bundle("federation", 1, 0), keys);
   roll(subject);
   REQUIRE_FALSE(subject.refusal());
   REQUIRE(stored().generation == 1);
 }
 
 TEST_CASE_METHOD(Fixture, "a bundle without a partner's signature is refused", "[configuration]") {
-  auto unsigned_bundle = bundle("federation", 1, 0);
+  auto unsigned_bundle = signed_bundle("federation", 1, 0);
   unsigned_bundle.signatures.pop_back();
   BundleRollout subject(unsigned_bundle, keys);
   roll(subject);
@@ -70,29 +70,32 @@
   REQUIRE(stored().generation == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "of two operators who race one is told who won", "[configuration]") {
-  BundleRollout first(bundle("federation", 1, 0), keys);
-  BundleRollout second(bundle("pharmacy", 7, 0), keys);
-  store::OptimisticUpdate early(kRules, second, configuration::configuration_range(), false, 1000);
-  const auto read = early.start();
-  const auto write = early.on_read(table.read(read.read), 0);
+TEST_CASE_METHOD(Fixture, "when two roll-outs race, the loser is told which bundle is active",
+                 "[configuration]") {
+  BundleRollout first(signed_bundle("federation", 1, 0), keys);
+  BundleRollout second(signed_bundle("pharmacy", 7, 0), keys);
+  store::OptimisticUpdate delayed(kRules, second, configuration::configuration_range(), false,
+                                  1000);
+  const auto read = delayed.start();
+  const auto write = delayed.on_read(table.read(read.read), 0);
   roll(first);
-  finish(early, write);
+  finish(delayed, write);
   REQUIRE(second.refusal()->kind == wire::ErrorKind::kBundleConflict);
   REQUIRE(second.refusal()->detail.find("version 1 of partner federation") != std::string::npos);
 }
 
-TEST_CASE_METHOD(Fixture, "a bundle that is rolled again is not taken twice", "[configuration]") {
-  BundleRollout first(bundle("federation", 1, 0), keys);
+TEST_CASE_METHOD(Fixture, "rolling out an active bundle again does not create a new generation",
+                 "[configuration]") {
+  BundleRollout first(signed_bundle("federation", 1, 0), keys);
   roll(first);
-  BundleRollout again(bundle("federation", 1, 0), keys);
+  BundleRollout again(signed_bundle("federation", 1, 0), keys);
   roll(again);
   REQUIRE_FALSE(again.refusal());
   REQUIRE(again.configuration().generation == 1);
   REQUIRE(stored().generation == 1);
 }
 
-TEST_CASE("a node serves only for its lease after it read the configuration", "[configuration]") {
+TEST_CASE("a node serves only until its configuration lease expires", "[configuration]") {
   const base::Knobs knobs;
   configuration::ConfigurationHolder holder(knobs, std::make_shared<configuration::LeaseRules>());
   REQUIRE_FALSE(holder.has_valid_lease(0));
@@ -101,7 +104,8 @@
   holder.on_read(read, 1000);
   REQUIRE(holder.has_valid_lease(1000 + knobs.configuration_lease - 1));
   REQUIRE_FALSE(holder.has_valid_lease(1000 + knobs.configuration_lease));
-  // An answer from before says nothing of what is in force now.
+  // A late response with an older generation must neither replace the configuration nor extend the
+  // lease.
   read.generation = 1;
   holder.on_read(read, 3000);
   REQUIRE(holder.generation() == 2);
--- a/tests/configuration/signing_test.cpp
+++ b/tests/configuration/signing_test.cpp
@@ -55,7 +55,7 @@
   bundle = signed_by_both(bundle_of("federation"));
   bundle.bundle.version = 2;
   REQUIRE_FALSE(verify_signatures(bundle, kKeys).empty());
-  // Replayed on another generation.
+  // The same signatures replayed for another generation.
   bundle = signed_by_both(bundle_of("federation"));
   bundle.bundle.builds_on = 7;
   REQUIRE_FALSE(verify_signatures(bundle, kKeys).empty());
@@ -75,18 +75,18 @@
   REQUIRE(bundle_digest(left) != bundle_digest(right));
 }
 
-TEST_CASE("reservations of both partners must fit together", "[configuration]") {
+TEST_CASE("reservations of all partners together must not exceed 100 percent", "[configuration]") {
   auto theirs = bundle_of("pharmacy");
   theirs.reservations = {reservation(60)};
-  const auto in_force = apply_bundle({}, theirs);
+  const auto active = apply_bundle({}, theirs);
   auto ours = bundle_of("federation");
   ours.reservations = {reservation(40)};
-  REQUIRE(validate_in_configuration(ours, in_force).empty());
+  REQUIRE(validate_in_configuration(ours, active).empty());
   ours.reservations = {reservation(41)};
-  REQUIRE_FALSE(validate_in_configuration(ours, in_force).empty());
+  REQUIRE_FALSE(validate_in_configuration(ours, active).empty());
 }
 
 TEST_CASE("an older version of a partner's bundle is refused", "[configuration]") {
-  const auto in_force = apply_bundle({}, bundle_of("federation"));
-  REQUIRE_FALSE(validate_in_configuration(bundle_of("federation"), in_force).empty());
+  const auto active = apply_bundle({}, bundle_of("federation"));
+  REQUIRE_FALSE(validate_in_configuration(bundle_of("federation"), active).empty());
 }
