--- a/src/configuration/bundle_roll.cpp
+++ b/src/configuration/bundle_roll.cpp
@@ -16,7 +16,7 @@
 constexpr const char* kKey = "in-force";
 
 std::string describe_active(const wire::Configuration& active) {
-  auto text = "generation " + std::to_string(active.generation) + " is already active";
+  auto text = "generation " + std::to_string(active.generation) + " is active";
   if (active.bundles.empty()) return text;
   const auto& newest = active.bundles.back();
   return text + ", written by version " + std::to_string(newest.version) + " of partner " +
--- a/src/program/due_work.cpp
+++ b/src/program/due_work.cpp
@@ -8,8 +8,8 @@
 
 using wire::CallPhase;
 
-wire::AttemptEnded ending(const std::string& program, std::int32_t sequence, std::int64_t attempt,
-                          wire::Outcome::type outcome) {
+wire::AttemptEnded make_attempt_ended(const std::string& program, std::int32_t sequence,
+                                      std::int64_t attempt, wire::Outcome::type outcome) {
   wire::AttemptEnded ended;
   ended.program = program;
   ended.sequence = sequence;
@@ -26,43 +26,44 @@
   return record.calls.empty() ? nullptr : &record.calls.back();
 }
 
-bool busy(const wire::ProgramRecord& record) {
+bool has_open_call(const wire::ProgramRecord& record) {
   const auto* call = last_call(record);
   return call != nullptr && call->phase != CallPhase::kDone;
 }
 
-void settle_running(FamilyState& state, const wire::CallRecord& call, base::Millis now_unix,
-                    const base::Knobs& knobs, DueActions& orders) {
+void process_running_call(FamilyState& state, const wire::CallRecord& call, base::Millis now_unix,
+                          const base::Knobs& knobs, DueActions& actions) {
   const auto& program = call.call.program;
   if (now_unix < overdue_at(call, knobs)) {
     if (now_unix < call.started_at_unix_ms + knobs.gateway_check_interval) return;
-    orders.checks.push_back(
+    actions.checks.push_back(
         {program, call.call.sequence, call.attempt, call.gateway, call.gateway_address});
     return;
   }
   if (call.call.target_kind == wire::TargetKind::kEngine) {
-    orders.cancels.push_back({call.backend, call.attempt});
+    actions.cancels.push_back({call.backend, call.attempt});
   }
-  state.end(ending(program, call.call.sequence, call.attempt, wire::Outcome::kUnknown), now_unix);
+  state.end(make_attempt_ended(program, call.call.sequence, call.attempt, wire::Outcome::kUnknown),
+            now_unix);
 }
 
-void settle_program(FamilyState& state, const std::string& program, base::Millis now_unix,
-                    const base::Knobs& knobs, DueActions& orders) {
+void process_program(FamilyState& state, const std::string& program, base::Millis now_unix,
+                     const base::Knobs& knobs, DueActions& actions) {
   const auto& record = *state.find(program);
-  for (const auto& backend : record.evictions_owed) orders.evictions.push_back({program, backend});
+  for (const auto& backend : record.evictions_owed) actions.evictions.push_back({program, backend});
   const auto* call = last_call(record);
   if (call != nullptr && call->phase == CallPhase::kRunning) {
-    settle_running(state, *call, now_unix, knobs, orders);
+    process_running_call(state, *call, now_unix, knobs, actions);
   }
   call = last_call(record);
-  const bool asks = call != nullptr && call->phase == CallPhase::kUnknown &&
-                    call->call.target_kind == wire::TargetKind::kApplication;
-  if (asks) {
-    orders.inquiries.push_back(
+  const bool needs_inquiry = call != nullptr && call->phase == CallPhase::kUnknown &&
+                             call->call.target_kind == wire::TargetKind::kApplication;
+  if (needs_inquiry) {
+    actions.inquiries.push_back(
         {program, call->call.sequence, call->attempt, call->backend, call->call.request_key});
   }
   const bool idle = now_unix >= record.changed_at_unix_ms + knobs.idle_limit;
-  if (!record.ended && idle && !busy(record)) {
+  if (!record.ended && idle && !has_open_call(record)) {
     wire::ProgramClosed closed;
     closed.program = program;
     closed.reason = "idle";
@@ -78,8 +79,8 @@
   return latest;
 }
 
-base::Millis due_of(const wire::ProgramRecord& record, base::Millis now_unix,
-                    const base::Knobs& knobs) {
+base::Millis program_due_at(const wire::ProgramRecord& record, base::Millis now_unix,
+                            const base::Knobs& knobs) {
   auto due = record.changed_at_unix_ms + knobs.idle_limit;
   if (!record.evictions_owed.empty()) due = std::min(due, now_unix + knobs.eviction_interval);
   const auto* call = last_call(record);
@@ -95,16 +96,16 @@
 }  // namespace
 
 DueActions process_due_work(FamilyState& state, base::Millis now_unix, const base::Knobs& knobs) {
-  DueActions orders;
+  DueActions actions;
   std::vector<std::string> programs;
   for (const auto& [id, record] : state.programs()) programs.push_back(id);
-  for (const auto& program : programs) settle_program(state, program, now_unix, knobs, orders);
+  for (const auto& program : programs) process_program(state, program, now_unix, knobs, actions);
   const bool retained = now_unix < last_change(state) + knobs.retention;
-  orders.remove_family = !state.empty() && state.finished() && !retained;
-  const bool asked =
-      !orders.evictions.empty() || !orders.inquiries.empty() || !orders.checks.empty();
-  if (asked) state.postpone();
-  return orders;
+  actions.remove_family = !state.empty() && state.finished() && !retained;
+  const bool has_remote_queries =
+      !actions.evictions.empty() || !actions.inquiries.empty() || !actions.checks.empty();
+  if (has_remote_queries) state.reschedule();
+  return actions;
 }
 
 base::Millis next_due_at(const FamilyState& state, base::Millis now_unix,
@@ -112,8 +113,8 @@
   if (state.finished()) return last_change(state) + knobs.retention;
   auto due = now_unix + knobs.idle_limit;
   for (const auto& [id, record] : state.programs()) {
-    const bool over = record.ended && record.evictions_owed.empty() && !busy(record);
-    if (!over) due = std::min(due, due_of(record, now_unix, knobs));
+    const bool settled = record.ended && record.evictions_owed.empty() && !has_open_call(record);
+    if (!settled) due = std::min(due, program_due_at(record, now_unix, knobs));
   }
   return due;
 }
@@ -121,7 +122,8 @@
 void apply_inquiry_answer(FamilyState& state, const InquiryAnswer& answer, base::Millis now_unix) {
   if (answer.verdict == InquiryAnswer::Verdict::kUndetermined) return;
   const auto& inquiry = answer.inquiry;
-  auto ended = ending(inquiry.program, inquiry.sequence, inquiry.attempt, wire::Outcome::kNotRun);
+  auto ended = make_attempt_ended(inquiry.program, inquiry.sequence, inquiry.attempt,
+                                  wire::Outcome::kNotRun);
   if (answer.verdict == InquiryAnswer::Verdict::kRan) {
     const bool failed = answer.error != wire::ErrorKind::kNone;
     ended.outcome = failed ? wire::Outcome::kFailed : wire::Outcome::kSucceeded;
@@ -137,8 +139,9 @@
   const bool running =
       call != nullptr && call->phase == CallPhase::kRunning && call->attempt == check.attempt;
   if (!running) return;
-  state.end(ending(check.program, check.sequence, check.attempt, wire::Outcome::kUnknown),
-            now_unix);
+  state.end(
+      make_attempt_ended(check.program, check.sequence, check.attempt, wire::Outcome::kUnknown),
+      now_unix);
 }
 
 }  // namespace sailgate::program
--- a/src/program/due_work.hpp
+++ b/src/program/due_work.hpp
@@ -1,5 +1,6 @@
-/// @file What a family needs though no caller asks: overdue attempts, unknown outcomes, evictions,
-/// idle programs, removal. Any node may do it; conditional writes keep it right.
+/// @file Background maintenance of a program family: overdue attempts, unknown outcomes, cache
+/// evictions, idle programs and removal. Any node may run it, also concurrently with others,
+/// because the results are stored by conditional writes.
 #pragma once
 
 #include <string>
@@ -9,19 +10,19 @@
 
 namespace sailgate::program {
 
-/// Ask an engine to drop what it caches of an ended program.
+/// Request to an engine to evict the cached prefix of an ended program.
 struct EvictionRequest {
   std::string program;
   std::string backend;
 };
 
-/// Stop an attempt that was given up.
+/// Request to a back end to stop an overdue attempt.
 struct CancelRequest {
   std::string backend;
   std::int64_t attempt = 0;
 };
 
-/// Ask an application engine what became of an attempt.
+/// Query to an application engine for the outcome of an attempt.
 struct OutcomeInquiry {
   std::string program;
   std::int32_t sequence = 0;
@@ -30,7 +31,8 @@
   std::string request_key;
 };
 
-/// Answer of an application engine. Once it says kNotRun, it refuses the attempt from then on.
+/// Response of an application engine. After it has reported kNotRun, it rejects the attempt, so
+/// that the verdict stays true.
 struct InquiryAnswer {
   enum class Verdict { kUndetermined, kRan, kNotRun };
   OutcomeInquiry inquiry;
@@ -39,7 +41,7 @@
   std::string result;
 };
 
-/// Ask a process whether it still runs an attempt.
+/// Query to a gateway process whether it still runs an attempt.
 struct GatewayCheck {
   std::string program;
   std::int32_t sequence = 0;
@@ -48,23 +50,24 @@
   std::string gateway_address;
 };
 
-/// Calls to be made once the family's changes are stored.
+/// Remote calls to make after the family's changes have been stored.
 struct DueActions {
   std::vector<EvictionRequest> evictions;
   std::vector<CancelRequest> cancels;
   std::vector<OutcomeInquiry> inquiries;
   std::vector<GatewayCheck> checks;
-  bool remove_family = false;  ///< nothing is owed any more and nobody may come back
+  bool remove_family = false;  ///< no work is left and the retention period is over
 };
 
-/// Does what is due now and collects the calls it needs.
+/// Applies the state changes that are due and returns the remote calls that follow from them.
 DueActions process_due_work(FamilyState& state, base::Millis now_unix, const base::Knobs& knobs);
-/// When somebody must look at the family again.
+/// Time at which the family next needs maintenance.
 base::Millis next_due_at(const FamilyState& state, base::Millis now_unix, const base::Knobs& knobs);
 
-/// Ending that an inquiry's answer proves; nothing while it is open.
+/// Ends the attempt as the response states. Does nothing while the verdict is kUndetermined.
 void apply_inquiry_answer(FamilyState& state, const InquiryAnswer& answer, base::Millis now_unix);
-/// The process that ran an attempt is gone, or says that it does not run it.
+/// Ends a running attempt with an unknown outcome, because its gateway is gone or reports that it
+/// does not run the attempt. Does nothing if the attempt is no longer running.
 void mark_attempt_lost(FamilyState& state, const GatewayCheck& check, base::Millis now_unix);
 
 }  // namespace sailgate::program
--- a/src/program/family_rows.cpp
+++ b/src/program/family_rows.cpp
@@ -14,104 +14,106 @@
 constexpr const char* kProgramTable = "programs";
 constexpr const char* kDueTable = "due";
 constexpr char kTextSeparator = '/';
-/// Follows the separator of texts, and that of sub-programs, in byte order.
-constexpr char kAfterFamily = '0';
-/// Raw bytes of one text row; a row takes 64 KiB.
-constexpr std::size_t kTextRowBytes = 48'000;
-/// A family's record may take this much of its row, and less when a program or call is added, so
-/// that what was begun can always be ended.
-constexpr std::size_t kRecordBytes = 65'000;
-constexpr std::size_t kGrowingRecordBytes = 56'000;
-/// A transaction takes 100 entries; some are the family's own.
-constexpr std::size_t kRemovalsAtOnce = 90;
-
-/// Digits of a piece's number, at the end of its key.
-constexpr std::size_t kPieceDigits = 3;
-
-std::string text_key(const TextChange& change, std::size_t piece) {
+/// Exclusive end of a family's key range. In byte order it follows the separator of texts ('/') and
+/// that of sub-programs ('.').
+constexpr char kFamilyRangeEnd = '0';
+/// Raw bytes per text row; the store limits a row to 64 KiB.
+constexpr std::size_t kMaxTextRowBytes = 48'000;
+/// Maximum size of a family's record. The limit is lower for changes that add a program or call, so
+/// that there is always room to finish calls that have started.
+constexpr std::size_t kMaxRecordBytes = 65'000;
+constexpr std::size_t kMaxGrowingRecordBytes = 56'000;
+/// The store limits a transaction to 100 entries; some are needed for the record and the due row.
+constexpr std::size_t kMaxTextRemovals = 90;
+
+/// Digits of the chunk number at the end of a text key.
+constexpr std::size_t kChunkDigits = 3;
+
+std::string text_key(const TextChange& change, std::size_t chunk) {
   char suffix[32];
   std::snprintf(suffix, sizeof(suffix), "%c%08d%c%c%03zu", kTextSeparator, change.sequence,
-                kTextSeparator, change.result ? 'a' : 'q', piece);
+                kTextSeparator, change.result ? 'a' : 'q', chunk);
   return change.program + suffix;
 }
 
-std::size_t pieces_of(const std::string& text) {
-  return std::max<std::size_t>(1, (text.size() + kTextRowBytes - 1) / kTextRowBytes);
+std::size_t chunk_count(const std::string& text) {
+  return std::max<std::size_t>(1, (text.size() + kMaxTextRowBytes - 1) / kMaxTextRowBytes);
 }
 
-/// A call without its texts.
+/// Copies a call without its request body and result, which have rows of their own.
 wire::CallRecord without_texts(const wire::CallRecord& call) {
-  wire::CallRecord bare;
-  bare.call.program = call.call.program;
-  bare.call.sequence = call.call.sequence;
-  bare.call.request_key = call.call.request_key;
-  bare.call.request_digest = call.call.request_digest;
-  bare.call.target_kind = call.call.target_kind;
-  bare.call.target = call.call.target;
-  bare.call.repeatable = call.call.repeatable;
-  bare.call.reserved_tokens = call.call.reserved_tokens;
-  bare.phase = call.phase;
-  bare.attempt = call.attempt;
-  bare.attempts = call.attempts;
-  bare.backend = call.backend;
-  bare.gateway = call.gateway;
-  bare.gateway_address = call.gateway_address;
-  bare.nonce = call.nonce;
-  bare.outcome.outcome = call.outcome.outcome;
-  bare.outcome.error = call.outcome.error;
-  bare.outcome.used_tokens = call.outcome.used_tokens;
-  bare.outcome.sequence = call.outcome.sequence;
-  bare.deadline_in_ms = call.deadline_in_ms;
-  bare.reservation_held = call.reservation_held;
-  bare.started_at_unix_ms = call.started_at_unix_ms;
-  return bare;
+  wire::CallRecord stripped;
+  stripped.call.program = call.call.program;
+  stripped.call.sequence = call.call.sequence;
+  stripped.call.request_key = call.call.request_key;
+  stripped.call.request_digest = call.call.request_digest;
+  stripped.call.target_kind = call.call.target_kind;
+  stripped.call.target = call.call.target;
+  stripped.call.repeatable = call.call.repeatable;
+  stripped.call.reserved_tokens = call.call.reserved_tokens;
+  stripped.phase = call.phase;
+  stripped.attempt = call.attempt;
+  stripped.attempts = call.attempts;
+  stripped.backend = call.backend;
+  stripped.gateway = call.gateway;
+  stripped.gateway_address = call.gateway_address;
+  stripped.nonce = call.nonce;
+  stripped.outcome.outcome = call.outcome.outcome;
+  stripped.outcome.error = call.outcome.error;
+  stripped.outcome.used_tokens = call.outcome.used_tokens;
+  stripped.outcome.sequence = call.outcome.sequence;
+  stripped.deadline_in_ms = call.deadline_in_ms;
+  stripped.reservation_held = call.reservation_held;
+  stripped.started_at_unix_ms = call.started_at_unix_ms;
+  return stripped;
 }
 
 std::string encode_record(const FamilyState& state) {
   wire::FamilyRow row;
   row.attempts_started = state.attempts_started();
   for (const auto& [id, record] : state.programs()) {
-    auto bare = record;
-    bare.calls.clear();
-    for (const auto& call : record.calls) bare.calls.push_back(without_texts(call));
-    row.programs.push_back(std::move(bare));
+    auto stripped = record;
+    stripped.calls.clear();
+    for (const auto& call : record.calls) stripped.calls.push_back(without_texts(call));
+    row.programs.push_back(std::move(stripped));
   }
   return wire::encode(row);
 }
 
-void add_text(const std::string& part, const TextChange& change, store::Transaction& transaction) {
-  for (std::size_t piece = 0; piece < pieces_of(change.text); ++piece) {
-    const store::RowId id{kProgramTable, part, text_key(change, piece)};
+void add_text(const std::string& partition, const TextChange& change,
+              store::Transaction& transaction) {
+  for (std::size_t chunk = 0; chunk < chunk_count(change.text); ++chunk) {
+    const store::RowId id{kProgramTable, partition, text_key(change, chunk)};
     if (change.removed) {
       transaction.removals.push_back(id);
       continue;
     }
     store::Row row;
     row.id = id;
-    row.value = change.text.substr(piece * kTextRowBytes, kTextRowBytes);
+    row.value = change.text.substr(chunk * kMaxTextRowBytes, kMaxTextRowBytes);
     transaction.puts.push_back(std::move(row));
   }
 }
 
-/// Texts of a family's calls by the beginning of their keys.
+/// Texts of a family's calls, by their key without the chunk number.
 using Texts = std::map<std::string, std::string>;
 
 std::string text_of(const Texts& texts, const wire::CallRecord& call, bool result) {
-  TextChange wanted;
-  wanted.program = call.call.program;
-  wanted.sequence = call.call.sequence;
-  wanted.result = result;
-  auto key = text_key(wanted, 0);
-  key.resize(key.size() - kPieceDigits);
+  TextChange key_fields;
+  key_fields.program = call.call.program;
+  key_fields.sequence = call.call.sequence;
+  key_fields.result = result;
+  auto key = text_key(key_fields, 0);
+  key.resize(key.size() - kChunkDigits);
   const auto found = texts.find(key);
   return found == texts.end() ? std::string() : found->second;
 }
 
-Texts join_pieces(const std::vector<store::Row>& rows) {
+Texts join_chunks(const std::vector<store::Row>& rows) {
   Texts texts;
   for (const auto& row : rows) {
     if (row.id.key.find(kTextSeparator) == std::string::npos) continue;
-    texts[row.id.key.substr(0, row.id.key.size() - kPieceDigits)] += row.value;
+    texts[row.id.key.substr(0, row.id.key.size() - kChunkDigits)] += row.value;
   }
   return texts;
 }
@@ -120,7 +122,7 @@
 
 std::string FamilyRows::partition_of(const std::string& family) const {
   const auto digest = static_cast<std::uint64_t>(base::fast_digest(family));
-  return std::to_string(digest % static_cast<std::uint64_t>(parts_));
+  return std::to_string(digest % static_cast<std::uint64_t>(partition_count_));
 }
 
 store::RowId FamilyRows::record_id(const std::string& family) const {
@@ -136,7 +138,7 @@
   range.table = kProgramTable;
   range.part = partition_of(family);
   range.from_key = family;
-  range.to_key = family + kAfterFamily;
+  range.to_key = family + kFamilyRangeEnd;
   return range;
 }
 
@@ -144,7 +146,7 @@
                               std::shared_ptr<const ProgramRules> rules) const {
   StoredFamily stored;
   auto state = std::make_shared<FamilyState>(std::move(rules));
-  const auto texts = join_pieces(rows);
+  const auto texts = join_chunks(rows);
   for (const auto& row : rows) {
     if (row.id.key != family) {
       stored.text_rows.push_back(row.id);
@@ -174,7 +176,7 @@
   store::Row record;
   record.id = record_id(family);
   record.value = encode_record(state);
-  const auto limit = state.grew() ? kGrowingRecordBytes : kRecordBytes;
+  const auto limit = state.grew() ? kMaxGrowingRecordBytes : kMaxRecordBytes;
   if (record.value.size() > limit) return std::nullopt;
   transaction.puts.push_back(std::move(record));
   wire::DueRow due;
@@ -192,7 +194,7 @@
                                              const StoredFamily& stored) const {
   store::Transaction transaction;
   transaction.conditions.push_back({record_id(family), stored.version});
-  const auto count = std::min(stored.text_rows.size(), kRemovalsAtOnce);
+  const auto count = std::min(stored.text_rows.size(), kMaxTextRemovals);
   transaction.removals.assign(stored.text_rows.begin(),
                               stored.text_rows.begin() + static_cast<std::ptrdiff_t>(count));
   if (count < stored.text_rows.size()) return transaction;
@@ -201,10 +203,10 @@
   return transaction;
 }
 
-store::RangeRead FamilyRows::due_range(std::int32_t part, const std::string& after) const {
+store::RangeRead FamilyRows::due_range(std::int32_t partition, const std::string& after) const {
   store::RangeRead range;
   range.table = kDueTable;
-  range.part = std::to_string(part);
+  range.part = std::to_string(partition);
   if (!after.empty()) range.from_key = after + '\0';
   return range;
 }
--- a/src/program/family_state.cpp
+++ b/src/program/family_state.cpp
@@ -11,7 +11,7 @@
 using wire::CallPhase;
 using Kind = wire::ErrorKind;
 
-/// Stands between a parent's id and the rest of its child's id.
+/// Separates the parent's id from the rest of a sub-program's id.
 constexpr char kChildSeparator = '.';
 
 std::string turn_content(const wire::CallRecord& call) {
@@ -69,7 +69,7 @@
   wire::ProgramRecord record;
   record.opened = opened;
   record.next_sequence = 1;
-  note_change(record, now_unix);
+  record_change(record, now_unix);
   grew_ = true;
   programs_.emplace(opened.program, std::move(record));
   return Kind::kNone;
@@ -82,11 +82,11 @@
   wire::CallRecord entry;
   entry.call = call;
   entry.phase = CallPhase::kAdmitted;
-  hold_reservation(record, entry);
+  acquire_reservation(record, entry);
   grew_ = true;
   record.calls.push_back(std::move(entry));
   text_changes_.push_back({call.program, call.sequence, false, false, call.request_body});
-  note_change(record, now_unix);
+  record_change(record, now_unix);
   return Kind::kNone;
 }
 
@@ -100,11 +100,11 @@
   if (call.call.request_key != started.request_key) return Kind::kWrongSequence;
   if (!rules_->attempt_permitted(call)) return Kind::kCallInProgress;
   if (!call.reservation_held) {
-    // An earlier attempt was charged in full; this one needs tokens of its own.
+    // The full reservation was charged for an earlier attempt; this one needs a new reservation.
     if (!rules_->reservation_fits(*record, call.call.reserved_tokens)) {
       return Kind::kBudgetExceeded;
     }
-    hold_reservation(*record, call);
+    acquire_reservation(*record, call);
   }
   call.phase = CallPhase::kRunning;
   call.attempt = started.attempt;
@@ -116,7 +116,7 @@
   call.deadline_in_ms = started.deadline_in_ms;
   call.started_at_unix_ms = now_unix;
   ++attempts_started_;
-  note_change(*record, now_unix);
+  record_change(*record, now_unix);
   auto& used = record->backends_used;
   const bool engine = call.call.target_kind == wire::TargetKind::kEngine;
   if (engine && std::find(used.begin(), used.end(), started.backend) == used.end()) {
@@ -131,21 +131,21 @@
   auto& call = record->calls.back();
   if (call.call.sequence != ended.sequence) return Kind::kUnknownCall;
   if (!rules_->ending_matches(call, ended)) return Kind::kUnknownCall;
-  note_change(*record, now_unix);
+  record_change(*record, now_unix);
   if (record->ended) restore_owed_eviction(*record, call.backend);
   switch (ended.outcome) {
     case wire::Outcome::kNotRun:
       if (call.attempts > 1) {
-        // An earlier attempt may have run: the call stays, for another attempt.
+        // An earlier attempt may have run, so the call is kept for another attempt.
         call.phase = CallPhase::kAdmitted;
       } else {
-        release_call(*record);
+        discard_call(*record);
       }
       break;
     case wire::Outcome::kUnknown:
       if (rules_->may_attempt_again(call)) {
-        // What the lost attempt used is not known: its whole reservation counts as used.
-        drop_reservation(*record, call);
+        // The token usage of the lost attempt is unknown, so its full reservation is charged.
+        release_reservation(*record, call);
         record->settled_tokens += call.call.reserved_tokens;
         call.phase = CallPhase::kAdmitted;
       } else {
@@ -160,31 +160,32 @@
   return Kind::kNone;
 }
 
-void FamilyState::hold_reservation(wire::ProgramRecord& record, wire::CallRecord& call) {
+void FamilyState::acquire_reservation(wire::ProgramRecord& record, wire::CallRecord& call) {
   if (call.reservation_held) return;
   call.reservation_held = true;
   record.reserved_tokens += call.call.reserved_tokens;
 }
 
-void FamilyState::drop_reservation(wire::ProgramRecord& record, wire::CallRecord& call) {
+void FamilyState::release_reservation(wire::ProgramRecord& record, wire::CallRecord& call) {
   if (!call.reservation_held) return;
   call.reservation_held = false;
   record.reserved_tokens -= call.call.reserved_tokens;
 }
 
-/// An engine may have cached the program again after its eviction: it owes another one.
+/// An attempt that ends after the program was closed may have cached the prefix again after the
+/// eviction was acknowledged, so that the engine must evict it once more.
 void FamilyState::restore_owed_eviction(wire::ProgramRecord& record, const std::string& backend) {
   auto& owed = record.evictions_owed;
-  const bool owes = std::find(owed.begin(), owed.end(), backend) != owed.end();
+  const bool already_owed = std::find(owed.begin(), owed.end(), backend) != owed.end();
   const auto& used = record.backends_used;
   const bool engine = std::find(used.begin(), used.end(), backend) != used.end();
-  if (engine && !owes && rules_->eviction_owed(record, backend)) owed.push_back(backend);
+  if (engine && !already_owed && rules_->eviction_owed(record, backend)) owed.push_back(backend);
 }
 
-/// The call provably never reached a back end: it is as if it had not been admitted.
-void FamilyState::release_call(wire::ProgramRecord& record) {
+/// Undoes the admission of a call that provably never ran on a back end.
+void FamilyState::discard_call(wire::ProgramRecord& record) {
   auto& call = record.calls.back();
-  drop_reservation(record, call);
+  release_reservation(record, call);
   text_changes_.push_back(
       {record.opened.program, call.call.sequence, false, true, std::move(call.call.request_body)});
   record.calls.pop_back();
@@ -199,12 +200,12 @@
   call.outcome.sequence = ended.sequence;
   call.outcome.result = ended.result;
   text_changes_.push_back({ended.program, ended.sequence, true, false, ended.result});
-  drop_reservation(record, call);
+  release_reservation(record, call);
   record.settled_tokens += call.outcome.used_tokens;
   record.next_sequence += 1;
   record.history_digest = base::chain_digest(record.history_digest, turn_content(call));
   if (!record.ended) return;
-  // The parent was charged the whole reservation when the program closed.
+  // The parent was charged the full reservation when the program was closed; refund the rest.
   if (auto* parent = find_mutable(record.opened.parent)) {
     parent->settled_tokens -= call.call.reserved_tokens - call.outcome.used_tokens;
   }
@@ -213,14 +214,15 @@
 wire::ErrorKind::type FamilyState::close(const wire::ProgramClosed& closed, base::Millis now_unix) {
   auto* record = find_mutable(closed.program);
   if (record == nullptr) return Kind::kUnknownProgram;
-  // Descendants' ids begin with the parent's id and a dot, so they follow it in the map.
+  // Ids of descendants start with the parent's id and a dot, so they are contiguous in the map.
   const std::string prefix = closed.program + kChildSeparator;
   std::vector<wire::ProgramRecord*> descendants;
   for (auto it = programs_.lower_bound(prefix);
        it != programs_.end() && it->first.compare(0, prefix.size(), prefix) == 0; ++it) {
     descendants.push_back(&it->second);
   }
-  // Deepest first, so that each one's unused budget reaches its parent before that one closes.
+  // Close the deepest programs first, so that each returns its unused budget before its parent
+  // closes.
   for (auto it = descendants.rbegin(); it != descendants.rend(); ++it)
     close_program(**it, now_unix);
   close_program(*record, now_unix);
@@ -229,7 +231,7 @@
 
 void FamilyState::close_program(wire::ProgramRecord& record, base::Millis now_unix) {
   if (record.ended) return;
-  note_change(record, now_unix);
+  record_change(record, now_unix);
   record.ended = true;
   for (const auto& backend : record.backends_used) {
     if (rules_->eviction_owed(record, backend)) record.evictions_owed.push_back(backend);
@@ -240,7 +242,7 @@
 void FamilyState::return_unused_budget(const wire::ProgramRecord& record) {
   auto* parent = find_mutable(record.opened.parent);
   if (parent == nullptr) return;
-  // Tokens still reserved by a running call stay charged: they may yet be used.
+  // Tokens reserved by an unfinished call remain charged, because the call may still use them.
   const std::int64_t charged = record.settled_tokens + record.reserved_tokens;
   parent->reserved_tokens -= record.opened.budget_tokens;
   parent->settled_tokens += charged;
@@ -251,14 +253,15 @@
   auto* record = find_mutable(pause.program);
   if (record == nullptr) return Kind::kUnknownProgram;
   if (record->ended) return Kind::kProgramEnded;
-  note_change(*record, now_unix + pause.expected_ms);
+  record_change(*record, now_unix + pause.expected_ms);
   return Kind::kNone;
 }
 
 wire::ErrorKind::type FamilyState::acknowledge_eviction(const wire::EvictionAcknowledged& evicted) {
   auto* record = find_mutable(evicted.program);
   if (record == nullptr) return Kind::kUnknownProgram;
-  // While an attempt runs there, the engine may cache the program again.
+  // A running attempt on this engine may cache the prefix again, so the eviction does not count
+  // yet.
   const bool running = !record->calls.empty() &&
                        record->calls.back().phase == CallPhase::kRunning &&
                        record->calls.back().backend == evicted.backend;
@@ -271,7 +274,7 @@
   return Kind::kNone;
 }
 
-void FamilyState::note_change(wire::ProgramRecord& record, base::Millis now_unix) {
+void FamilyState::record_change(wire::ProgramRecord& record, base::Millis now_unix) {
   changed_ = true;
   record.changed_at_unix_ms = std::max(record.changed_at_unix_ms, now_unix);
 }
--- a/src/program/family_update.cpp
+++ b/src/program/family_update.cpp
@@ -19,7 +19,7 @@
   too_large_ = false;
   next_ = std::make_shared<FamilyState>(*stored_.state);
   change_(*next_);
-  if (removing_ && !stored_.state->empty() && stored_.state->finished()) {
+  if (remove_when_finished_ && !stored_.state->empty() && stored_.state->finished()) {
     return context_.rows.build_removal(family_, stored_);
   }
   if (!next_->changed()) return std::nullopt;
--- a/src/program/family_update.hpp
+++ b/src/program/family_update.hpp
@@ -1,4 +1,4 @@
-/// @file One change or reading of a family, as a subject of store::OptimisticUpdate.
+/// @file A single update or read of a family as the subject of a store::OptimisticUpdate.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,7 @@
 
 namespace sailgate::program {
 
-/// What all updates of a process share. Outlives them.
+/// Dependencies shared by all updates of a process; must outlive them.
 struct FamilyContext {
   FamilyRows rows;
   std::shared_ptr<const ProgramRules> rules;
@@ -19,13 +19,15 @@
   std::function<base::Millis()> now_unix;
 };
 
-/// Deterministic but for the decision it is given; not thread-safe.
+/// Applies a change function to a family and builds the transaction that stores the result.
+/// Deterministic if the change function is. Not thread-safe.
 class FamilyUpdate : public store::UpdateSubject {
  public:
-  /// Changes the state, or not; may be called several times, each time on a fresh state.
+  /// Changes the state, or leaves it unchanged. After a write conflict it is called again on the
+  /// newly loaded state.
   using Change = std::function<void(FamilyState&)>;
 
-  /// @param cached the family as this process saw it last, or nothing.
+  /// @param cached the family as last seen by this process, or an empty value.
   FamilyUpdate(const FamilyContext& context, std::string family, StoredFamily cached,
                Change change);
 
@@ -33,11 +35,11 @@
   std::optional<store::Transaction> evaluate() override;
   void written(std::int64_t version) override;
 
-  /// The next evaluation removes the family instead of storing it, when it is finished.
-  void remove_when_finished() { removing_ = true; }
-  /// The change could not be stored: the family's record is full.
+  /// Makes evaluate() remove the family instead of storing it, provided that it is finished.
+  void remove_when_finished() { remove_when_finished_ = true; }
+  /// Whether the change was not stored because the family's record would exceed its size limit.
   bool too_large() const { return too_large_; }
-  /// The family as the store has it after this update.
+  /// The family as stored after this update.
   const StoredFamily& stored() const { return stored_; }
   const std::string& family() const { return family_; }
 
@@ -47,7 +49,7 @@
   StoredFamily stored_;
   Change change_;
   std::shared_ptr<FamilyState> next_;
-  bool removing_ = false;
+  bool remove_when_finished_ = false;
   bool too_large_ = false;
 };
 
--- a/src/program/program_rules.cpp
+++ b/src/program/program_rules.cpp
@@ -4,9 +4,9 @@
 
 bool ProgramRules::sequence_is_next(const wire::ProgramRecord& record,
                                     std::int32_t sequence) const {
-  const bool previous_ended =
+  const bool previous_done =
       record.calls.empty() || record.calls.back().phase == wire::CallPhase::kDone;
-  return previous_ended && sequence == record.next_sequence;
+  return previous_done && sequence == record.next_sequence;
 }
 
 bool ProgramRules::reservation_fits(const wire::ProgramRecord& record, std::int64_t tokens) const {
--- a/src/program/request_decision.cpp
+++ b/src/program/request_decision.cpp
@@ -11,14 +11,13 @@
 using Kind = wire::ErrorKind;
 using wire::CallPhase;
 
-const wire::ProgramRecord* find_owned(const FamilyState& state, const std::string& program,
-                                      const std::string& tenant) {
+const wire::ProgramRecord* find_owned_program(const FamilyState& state, const std::string& program,
+                                              const std::string& tenant) {
   const auto* record = state.find(program);
   return record != nullptr && record->opened.tenant == tenant ? record : nullptr;
 }
 
-/// Accepted, or why not.
-wire::ProgramReply accepted_unless(wire::ErrorKind::type error, const std::string& program) {
+wire::ProgramReply accepted_or_refused(wire::ErrorKind::type error, const std::string& program) {
   return error == Kind::kNone ? accepted_reply(program) : refusal_reply(error);
 }
 
@@ -39,67 +38,69 @@
   return reply;
 }
 
-wire::ProgramReply start_attempt(FamilyState& state, const wire::AdmitCall& asked, bool admitted,
+wire::ProgramReply start_attempt(FamilyState& state, const wire::AdmitCall& request, bool admitted,
                                  const DecisionContext& context) {
-  const auto* record = state.find(asked.call.program);
-  const auto* call = FamilyState::find_call(*record, asked.call.request_key);
+  const auto* record = state.find(request.call.program);
+  const auto* call = FamilyState::find_call(*record, request.call.request_key);
   scheduling::CallContext call_context;
-  call_context.target_kind = asked.call.target_kind;
-  call_context.target = asked.call.target;
+  call_context.target_kind = request.call.target_kind;
+  call_context.target = request.call.target;
   call_context.engines_with_prefix = record->backends_used;
   call_context.zone = context.zone;
   const auto choice = context.chooser.choose(call_context, context.backends);
   if (choice.error != Kind::kNone) return call_refusal(choice.error, call);
   if (!admitted) {
-    const auto error = state.admit(asked.call, context.now_unix);
+    const auto error = state.admit(request.call, context.now_unix);
     if (error != Kind::kNone) return refusal_reply(error);
   }
   wire::AttemptStarted started;
-  started.program = asked.call.program;
-  started.sequence = asked.call.sequence;
-  started.request_key = asked.call.request_key;
+  started.program = request.call.program;
+  started.sequence = request.call.sequence;
+  started.request_key = request.call.request_key;
   started.attempt = context.random.identifier();
   started.backend = choice.backend;
-  started.gateway = asked.gateway;
-  started.gateway_address = asked.gateway_address;
-  started.nonce = asked.nonce;
-  started.deadline_in_ms = asked.deadline_in_ms;
+  started.gateway = request.gateway;
+  started.gateway_address = request.gateway_address;
+  started.nonce = request.nonce;
+  started.deadline_in_ms = request.deadline_in_ms;
   const auto error = state.start(started, context.now_unix);
-  call = FamilyState::find_call(*record, asked.call.request_key);
+  call = FamilyState::find_call(*record, request.call.request_key);
   if (error != Kind::kNone) return call_refusal(error, call);
   return grant_reply(state, *record, *call);
 }
 
-wire::ProgramReply decide_known_call(FamilyState& state, const wire::AdmitCall& asked,
+wire::ProgramReply decide_known_call(FamilyState& state, const wire::AdmitCall& request,
                                      const wire::ProgramRecord& record,
                                      const wire::CallRecord& call, const DecisionContext& context) {
-  if (!FamilyState::same_request(call.call, asked.call)) return refusal_reply(Kind::kKeyReused);
+  if (!FamilyState::same_request(call.call, request.call)) return refusal_reply(Kind::kKeyReused);
   switch (call.phase) {
     case CallPhase::kDone:
       return outcome_reply(call.outcome);
     case CallPhase::kUnknown:
       return refusal_reply(Kind::kOutcomeUnknown);
     case CallPhase::kRunning: {
-      // The same gateway asking again did not see its grant stored; any other one joins.
-      const bool same_asker = call.gateway == asked.gateway && call.nonce == asked.nonce;
-      return same_asker ? grant_reply(state, record, call) : refusal_reply(Kind::kCallInProgress);
+      // A retry by the same gateway, which did not learn that its grant was stored, gets the same
+      // grant. Any other request is told that the call is in progress.
+      const bool same_requester = call.gateway == request.gateway && call.nonce == request.nonce;
+      return same_requester ? grant_reply(state, record, call)
+                            : refusal_reply(Kind::kCallInProgress);
     }
     case CallPhase::kAdmitted:
       break;
   }
   if (record.ended) return call_refusal(Kind::kProgramEnded, &call);
-  return start_attempt(state, asked, true, context);
+  return start_attempt(state, request, true, context);
 }
 
-wire::ProgramReply admit(FamilyState& state, const wire::AdmitCall& asked,
+wire::ProgramReply admit(FamilyState& state, const wire::AdmitCall& request,
                          const DecisionContext& context) {
-  const auto* record = find_owned(state, asked.call.program, asked.tenant);
+  const auto* record = find_owned_program(state, request.call.program, request.tenant);
   if (record == nullptr) return refusal_reply(Kind::kUnknownProgram);
-  const auto* known = FamilyState::find_call(*record, asked.call.request_key);
-  if (known != nullptr) return decide_known_call(state, asked, *record, *known, context);
-  const auto error = state.check_admission(asked.call);
+  const auto* known = FamilyState::find_call(*record, request.call.request_key);
+  if (known != nullptr) return decide_known_call(state, request, *record, *known, context);
+  const auto error = state.check_admission(request.call);
   if (error != Kind::kNone) return refusal_reply(error);
-  return start_attempt(state, asked, false, context);
+  return start_attempt(state, request, false, context);
 }
 
 wire::ProgramReply complete(FamilyState& state, const wire::AttemptEnded& ended,
@@ -108,7 +109,7 @@
   if (ended.outcome == wire::Outcome::kNotRun && error == Kind::kNone) {
     return accepted_reply(ended.program);
   }
-  // A repeated ending finds the call done: its outcome is the answer either way.
+  // A retried completion finds the call already done; both cases return the stored outcome.
   const auto* record = state.find(ended.program);
   if (record == nullptr) return refusal_reply(Kind::kOutcomeUnknown);
   for (const auto& call : record->calls) {
@@ -119,7 +120,7 @@
 }
 
 wire::ProgramReply look_up(const FamilyState& state, const wire::LookUpCall& request) {
-  const auto* record = find_owned(state, request.program, request.tenant);
+  const auto* record = find_owned_program(state, request.program, request.tenant);
   if (record == nullptr) return refusal_reply(Kind::kUnknownProgram);
   const auto* call = FamilyState::find_call(*record, request.request_key);
   if (call == nullptr) return refusal_reply(Kind::kUnknownCall);
@@ -129,7 +130,7 @@
 }
 
 wire::ProgramReply read(const FamilyState& state, const wire::ReadProgram& request) {
-  const auto* record = find_owned(state, request.program, request.tenant);
+  const auto* record = find_owned_program(state, request.program, request.tenant);
   if (record == nullptr) return refusal_reply(Kind::kUnknownProgram);
   wire::ProgramView view;
   view.program = record->opened.program;
@@ -151,25 +152,25 @@
 wire::ProgramReply pause(FamilyState& state, const wire::ReportToolPause& request,
                          base::Millis now_unix) {
   const auto& program = request.pause.program;
-  if (find_owned(state, program, request.tenant) == nullptr) {
+  if (find_owned_program(state, program, request.tenant) == nullptr) {
     return refusal_reply(Kind::kUnknownProgram);
   }
-  return accepted_unless(state.pause(request.pause, now_unix), program);
+  return accepted_or_refused(state.pause(request.pause, now_unix), program);
 }
 
 wire::ProgramReply end(FamilyState& state, const wire::EndProgram& request, base::Millis now_unix) {
   const auto& program = request.closed.program;
-  if (find_owned(state, program, request.tenant) == nullptr) {
+  if (find_owned_program(state, program, request.tenant) == nullptr) {
     return refusal_reply(Kind::kUnknownProgram);
   }
-  return accepted_unless(state.close(request.closed, now_unix), program);
+  return accepted_or_refused(state.close(request.closed, now_unix), program);
 }
 
 wire::ProgramReply decide_checked(FamilyState& state, const wire::ProgramRequest& request,
                                   const DecisionContext& context) {
   if (request.__isset.open_program) {
     const auto& opened = request.open_program.program;
-    return accepted_unless(state.open(opened, context.now_unix), opened.program);
+    return accepted_or_refused(state.open(opened, context.now_unix), opened.program);
   }
   if (request.__isset.admit_call) return admit(state, request.admit_call, context);
   if (request.__isset.complete_attempt) {
@@ -191,7 +192,7 @@
   try {
     return decide_checked(state, request, context);
   } catch (const std::runtime_error&) {
-    // The program's history failed its check and must not be served.
+    // The program's history does not match its digest chain and must not be served.
     return refusal_reply(Kind::kInternal);
   }
 }
--- a/src/program/request_decision.hpp
+++ b/src/program/request_decision.hpp
@@ -1,4 +1,4 @@
-/// @file Decides program requests on the state of a family. No I/O.
+/// @file Evaluates program requests against the state of a family. Performs no I/O.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace sailgate::program {
 
-/// What a decision may look at besides the family.
+/// Inputs of a decision other than the family's state.
 struct DecisionContext {
   const scheduling::BackendChooser& chooser;
   const scheduling::BackendDirectory& backends;
@@ -18,12 +18,12 @@
   base::Millis now_unix = 0;
 };
 
-/// Changes `state` as the request asks for. The reply holds once the changes are stored; deciding a
-/// request again on a state that has its changes gives the same reply.
+/// Applies the request to `state`. The reply is valid only after the changes have been stored.
+/// Evaluating the same request again on a state that contains its changes gives the same reply.
 wire::ProgramReply decide(FamilyState& state, const wire::ProgramRequest& request,
                           const DecisionContext& context);
 
-/// Root program whose family a request is about.
+/// Returns the id of the family that a request refers to.
 std::string family_of(const wire::ProgramRequest& request);
 
 }  // namespace sailgate::program
--- a/tests/program/due_work_test.cpp
+++ b/tests/program/due_work_test.cpp
@@ -12,7 +12,7 @@
 constexpr base::Millis kDeadline = 5000;
 const base::Knobs kKnobs;
 
-/// A family with one program and one running call.
+/// A family with one program; run_call() opens it and starts an attempt of its first call.
 struct Fixture {
   FamilyState state{std::make_shared<program::ProgramRules>()};
 
@@ -49,46 +49,49 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "an attempt under way is left alone", "[program]") {
+TEST_CASE_METHOD(Fixture, "a recently started attempt needs no action", "[program]") {
   run_call(wire::TargetKind::kEngine);
-  const auto orders = process_due_work(state, kStart + 10, kKnobs);
-  REQUIRE(orders.checks.empty());
+  const auto actions = process_due_work(state, kStart + 10, kKnobs);
+  REQUIRE(actions.checks.empty());
   REQUIRE_FALSE(state.changed());
 }
 
-TEST_CASE_METHOD(Fixture, "an attempt that takes long has its gateway asked", "[program]") {
+TEST_CASE_METHOD(Fixture, "the gateway of a long-running attempt is queried", "[program]") {
   run_call(wire::TargetKind::kEngine);
-  const auto orders = process_due_work(state, kStart + kKnobs.gateway_check_interval, kKnobs);
-  REQUIRE(orders.checks.size() == 1);
-  REQUIRE(orders.checks.front().gateway == 3);
-  // The next one to look sees that somebody asks.
+  const auto actions = process_due_work(state, kStart + kKnobs.gateway_check_interval, kKnobs);
+  REQUIRE(actions.checks.size() == 1);
+  REQUIRE(actions.checks.front().gateway == 3);
+  // The state counts as changed, so that a new due time is stored and no other node repeats the
+  // query at once.
   REQUIRE(state.changed());
   REQUIRE(phase() == wire::CallPhase::kRunning);
 }
 
-TEST_CASE_METHOD(Fixture, "an attempt whose gateway is gone may be made again", "[program]") {
+TEST_CASE_METHOD(Fixture, "a repeatable call can be attempted again after its gateway is lost",
+                 "[program]") {
   run_call(wire::TargetKind::kEngine);
-  const auto orders = process_due_work(state, kStart + kKnobs.gateway_check_interval, kKnobs);
-  program::mark_attempt_lost(state, orders.checks.front(), kStart + 3000);
+  const auto actions = process_due_work(state, kStart + kKnobs.gateway_check_interval, kKnobs);
+  program::mark_attempt_lost(state, actions.checks.front(), kStart + 3000);
   REQUIRE(phase() == wire::CallPhase::kAdmitted);
 }
 
-TEST_CASE_METHOD(Fixture, "an overdue attempt is given up and cancelled", "[program]") {
+TEST_CASE_METHOD(Fixture, "an overdue attempt is cancelled and its call can be attempted again",
+                 "[program]") {
   run_call(wire::TargetKind::kEngine);
   const auto overdue = kStart + kDeadline + kKnobs.attempt_grace;
   REQUIRE(program::next_due_at(state, kStart, kKnobs) <= overdue);
-  const auto orders = process_due_work(state, overdue, kKnobs);
-  REQUIRE(orders.cancels.size() == 1);
+  const auto actions = process_due_work(state, overdue, kKnobs);
+  REQUIRE(actions.cancels.size() == 1);
   REQUIRE(phase() == wire::CallPhase::kAdmitted);
 }
 
-TEST_CASE_METHOD(Fixture, "an unknown outcome is asked for until it is known", "[program]") {
+TEST_CASE_METHOD(Fixture, "an unknown outcome is queried until it is known", "[program]") {
   run_call(wire::TargetKind::kApplication);
   const auto overdue = kStart + kDeadline + kKnobs.attempt_grace;
-  auto orders = process_due_work(state, overdue, kKnobs);
-  REQUIRE(orders.inquiries.size() == 1);
+  auto actions = process_due_work(state, overdue, kKnobs);
+  REQUIRE(actions.inquiries.size() == 1);
   program::InquiryAnswer answer;
-  answer.inquiry = orders.inquiries.front();
+  answer.inquiry = actions.inquiries.front();
   program::apply_inquiry_answer(state, answer, overdue);
   REQUIRE(phase() == wire::CallPhase::kUnknown);
   REQUIRE(program::next_due_at(state, overdue, kKnobs) <= overdue + kKnobs.inquiry_interval);
@@ -98,17 +101,18 @@
   REQUIRE(phase() == wire::CallPhase::kDone);
 }
 
-TEST_CASE_METHOD(Fixture, "a call proved not run is as if it had not been made", "[program]") {
+TEST_CASE_METHOD(Fixture, "a call that provably did not run is removed", "[program]") {
   run_call(wire::TargetKind::kApplication);
-  auto orders = process_due_work(state, kStart + kDeadline + kKnobs.attempt_grace, kKnobs);
+  auto actions = process_due_work(state, kStart + kDeadline + kKnobs.attempt_grace, kKnobs);
   program::InquiryAnswer answer;
-  answer.inquiry = orders.inquiries.front();
+  answer.inquiry = actions.inquiries.front();
   answer.verdict = program::InquiryAnswer::Verdict::kNotRun;
   program::apply_inquiry_answer(state, answer, kStart + kDeadline);
   REQUIRE(state.find("p")->calls.empty());
 }
 
-TEST_CASE_METHOD(Fixture, "an ended program owes its engines evictions, then goes after retention",
+TEST_CASE_METHOD(Fixture,
+                 "an ended program is removed after its evictions and the retention period",
                  "[program]") {
   run_call(wire::TargetKind::kEngine);
   wire::AttemptEnded ended;
@@ -117,20 +121,20 @@
   ended.attempt = 7;
   state.end(ended, kStart);
   close();
-  auto orders = process_due_work(state, kStart, kKnobs);
-  REQUIRE(orders.evictions.size() == 1);
-  REQUIRE_FALSE(orders.remove_family);
+  auto actions = process_due_work(state, kStart, kKnobs);
+  REQUIRE(actions.evictions.size() == 1);
+  REQUIRE_FALSE(actions.remove_family);
   wire::EvictionAcknowledged acknowledged;
   acknowledged.program = "p";
   acknowledged.backend = "backend";
   state.acknowledge_eviction(acknowledged);
-  const auto over = kStart + kKnobs.retention;
-  REQUIRE(program::next_due_at(state, kStart, kKnobs) == over);
-  REQUIRE_FALSE(process_due_work(state, over - 1, kKnobs).remove_family);
-  REQUIRE(process_due_work(state, over, kKnobs).remove_family);
+  const auto retention_end = kStart + kKnobs.retention;
+  REQUIRE(program::next_due_at(state, kStart, kKnobs) == retention_end);
+  REQUIRE_FALSE(process_due_work(state, retention_end - 1, kKnobs).remove_family);
+  REQUIRE(process_due_work(state, retention_end, kKnobs).remove_family);
 }
 
-TEST_CASE_METHOD(Fixture, "an idle program is ended, and a reported pause is no idleness",
+TEST_CASE_METHOD(Fixture, "an idle program is ended, but not during a reported tool pause",
                  "[program]") {
   wire::ProgramOpened opened;
   opened.program = "p";
--- a/tests/program/family_rows_test.cpp
+++ b/tests/program/family_rows_test.cpp
@@ -69,7 +69,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "rows restore a family with all its texts", "[program]") {
+TEST_CASE_METHOD(Fixture, "a family is restored from its rows with all texts", "[program]") {
   open("p");
   open("p.c", "p");
   const std::string long_text(150'000, 'x');
@@ -88,7 +88,7 @@
   REQUIRE(loaded.state->attempts_started() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "families whose names begin alike are kept apart", "[program]") {
+TEST_CASE_METHOD(Fixture, "families whose ids share a prefix are kept apart", "[program]") {
   open("p");
   REQUIRE(store());
   FamilyState other(kRules);
@@ -100,16 +100,16 @@
   REQUIRE(load().state->programs().size() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "a write on an older version changes nothing", "[program]") {
+TEST_CASE_METHOD(Fixture, "a write based on an outdated version is rejected", "[program]") {
   open("p");
   REQUIRE(store());
   REQUIRE(admit("p", 1, "a") == Kind::kNone);
-  const auto late = rows.build_update("p", state, 0, kNow);
-  REQUIRE(table.transact(*late).status == store::StoreStatus::kConflict);
+  const auto outdated = rows.build_update("p", state, 0, kNow);
+  REQUIRE(table.transact(*outdated).status == store::StoreStatus::kConflict);
   REQUIRE(load().state->find("p")->calls.empty());
 }
 
-TEST_CASE_METHOD(Fixture, "a full record takes no new calls, and those begun can end",
+TEST_CASE_METHOD(Fixture, "a full record accepts no new calls, but admitted calls can finish",
                  "[program]") {
   open("p");
   REQUIRE(store());
@@ -122,11 +122,11 @@
     ++sequence;
   }
   REQUIRE(sequence > 160);
-  // The last call that was stored could end: the loop's own requirement.
+  // The loop has checked that every stored call, including the last one, could finish.
   REQUIRE(load().state->find("p")->calls.size() == static_cast<std::size_t>(sequence - 1));
 }
 
-TEST_CASE_METHOD(Fixture, "a call that was given up leaves no text behind", "[program]") {
+TEST_CASE_METHOD(Fixture, "a discarded call leaves no text rows", "[program]") {
   open("p");
   REQUIRE(admit("p", 1, "text") == Kind::kNone);
   REQUIRE(store());
@@ -146,7 +146,7 @@
   REQUIRE(load().text_rows.empty());
 }
 
-TEST_CASE_METHOD(Fixture, "removal takes every row, also of long histories", "[program]") {
+TEST_CASE_METHOD(Fixture, "removal deletes every row, also of long histories", "[program]") {
   open("p");
   for (int sequence = 1; sequence <= 100; ++sequence) {
     REQUIRE(admit("p", sequence, "q") == Kind::kNone);
@@ -160,13 +160,13 @@
   }
 }
 
-TEST_CASE_METHOD(Fixture, "a part lists when its families are due", "[program]") {
+TEST_CASE_METHOD(Fixture, "a partition lists the due times of its families", "[program]") {
   open("p");
   REQUIRE(store());
-  const auto part = std::stoi(rows.partition_of("p"));
-  const auto due = table.read(rows.due_range(part, "")).rows;
+  const auto partition = std::stoi(rows.partition_of("p"));
+  const auto due = table.read(rows.due_range(partition, "")).rows;
   REQUIRE(due.size() == 1);
   REQUIRE(due.front().id.key == "p");
   REQUIRE(program::FamilyRows::decode_due_time(due.front()) == kNow);
-  REQUIRE(table.read(rows.due_range(part, "p")).rows.empty());
+  REQUIRE(table.read(rows.due_range(partition, "p")).rows.empty());
 }
--- a/tests/program/family_state_test.cpp
+++ b/tests/program/family_state_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr base::Millis kNow = 1000;
 
-/// Makes changes of one family with little text.
+/// Helper that applies changes to a family state with short default arguments.
 class Family {
  public:
   Kind::type open(const std::string& id, std::int64_t budget, const std::string& parent = "") {
@@ -69,7 +69,7 @@
 
 }  // namespace
 
-TEST_CASE("calls are admitted one after the other", "[program]") {
+TEST_CASE("calls are admitted in sequence, one at a time", "[program]") {
   Family family;
   family.open("p", 100);
   REQUIRE(family.admit("p", 2, "b") == Kind::kWrongSequence);
@@ -89,19 +89,19 @@
   REQUIRE(family.admit("p", 4, "4") == Kind::kCallLimitReached);
 }
 
-TEST_CASE("a call that may not be repeated gets one attempt, ever", "[program]") {
+TEST_CASE("a call that is not repeatable gets only one attempt", "[program]") {
   Family family;
   family.open("p", 100);
   family.admit("p", 1, "a", 0, false);
   REQUIRE(family.start("p", 1, "a", 1) == Kind::kNone);
   REQUIRE(family.end("p", 1, 1, wire::Outcome::kUnknown) == Kind::kNone);
   REQUIRE(family.start("p", 1, "a", 2) == Kind::kCallInProgress);
-  // The outcome becomes known later and counts.
+  // An outcome that becomes known later is still accepted.
   REQUIRE(family.end("p", 1, 1, wire::Outcome::kSucceeded) == Kind::kNone);
   REQUIRE(family.state.find("p")->next_sequence == 2);
 }
 
-TEST_CASE("an ending of another attempt changes nothing", "[program]") {
+TEST_CASE("the outcome of another attempt is rejected", "[program]") {
   Family family;
   family.open("p", 100);
   family.admit("p", 1, "a");
@@ -110,7 +110,7 @@
   REQUIRE(family.state.find("p")->next_sequence == 1);
 }
 
-TEST_CASE("an attempt proved unsent leaves no trace of its call", "[program]") {
+TEST_CASE("a call whose only attempt provably did not run is removed", "[program]") {
   Family family;
   family.open("p", 100);
   family.admit("p", 1, "a");
@@ -121,7 +121,7 @@
   REQUIRE(family.admit("p", 1, "b") == Kind::kNone);
 }
 
-TEST_CASE("a lost attempt is charged in full, and the next one needs tokens of its own",
+TEST_CASE("a lost attempt is charged in full, and the next one needs a new reservation",
           "[program]") {
   Family family;
   family.open("p", 25);
@@ -134,8 +134,7 @@
   REQUIRE(family.start("p", 1, "a", 3) == Kind::kBudgetExceeded);
 }
 
-TEST_CASE("sub-programs draw on their parent's budget and return what they did not use",
-          "[program]") {
+TEST_CASE("sub-programs reserve from their parent's budget and return unused tokens", "[program]") {
   Family family;
   family.open("p", 100);
   REQUIRE(family.open("p.c", 80, "p") == Kind::kNone);
@@ -147,7 +146,7 @@
   REQUIRE(family.open("p.d", 90, "p") == Kind::kNone);
 }
 
-TEST_CASE("closing a program closes its descendants and owes evictions", "[program]") {
+TEST_CASE("closing a program closes its descendants and requires evictions", "[program]") {
   Family family;
   family.open("p", 100);
   family.open("p.c", 50, "p");
@@ -159,7 +158,7 @@
   REQUIRE_FALSE(family.state.find("q")->ended);
 }
 
-TEST_CASE("an eviction is not taken for done while an attempt runs there", "[program]") {
+TEST_CASE("an eviction is not accepted as done while an attempt runs on the engine", "[program]") {
   Family family;
   family.open("p", 100);
   family.admit("p", 1, "a");
@@ -180,6 +179,6 @@
   family.open("p", 100);
   family.run("p", 1, "a");
   auto record = *family.state.find("p");
-  record.calls.front().outcome.result = "somebody else's result";
+  record.calls.front().outcome.result = "result of another call";
   REQUIRE_THROWS_AS(program::FamilyState::verified_history(record), std::runtime_error);
 }
--- a/tests/program/request_decision_test.cpp
+++ b/tests/program/request_decision_test.cpp
@@ -62,33 +62,32 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a call is granted once, to the one who asked", "[program]") {
+TEST_CASE_METHOD(Fixture, "a call is granted once, to the first requester", "[program]") {
   const auto granted = admit(1, 11);
   REQUIRE(granted.__isset.grant);
-  // Asked again because the first answer was not seen: the same attempt.
+  // A retry after a lost response gets the same attempt.
   REQUIRE(admit(1, 11).grant.attempt == granted.grant.attempt);
   REQUIRE(admit(2, 22).refusal.kind == Kind::kCallInProgress);
 }
 
-TEST_CASE_METHOD(Fixture, "an ending that is decided again gives the same outcome", "[program]") {
+TEST_CASE_METHOD(Fixture, "a repeated completion returns the same outcome", "[program]") {
   const auto attempt = admit(1, 11).grant.attempt;
   REQUIRE(complete(attempt, "result").outcome.result == "result");
   REQUIRE(complete(attempt, "result").outcome.result == "result");
   REQUIRE(admit(2, 22).outcome.result == "result");
 }
 
-TEST_CASE_METHOD(Fixture, "another tenant's program looks like one that does not exist",
-                 "[program]") {
+TEST_CASE_METHOD(Fixture, "another tenant's program is reported as unknown", "[program]") {
   REQUIRE(admit(1, 11, "stranger").refusal.kind == Kind::kUnknownProgram);
 }
 
-TEST_CASE_METHOD(Fixture, "without a back end nothing is admitted", "[program]") {
+TEST_CASE_METHOD(Fixture, "no call is admitted without a feasible back end", "[program]") {
   backends.set_leaving("engine", true);
   REQUIRE(admit(1, 11).refusal.kind == Kind::kNoFeasibleBackend);
   REQUIRE(state.find("p")->calls.empty());
 }
 
-TEST_CASE_METHOD(Fixture, "a later attempt has a higher fence", "[program]") {
+TEST_CASE_METHOD(Fixture, "a later attempt gets a higher fence", "[program]") {
   const auto first = admit(1, 11).grant;
   wire::AttemptEnded lost;
   lost.program = "p";
