--- a/src/program/family_state.hpp
+++ b/src/program/family_state.hpp
@@ -52,8 +52,7 @@
   /// @return the record, or nullptr if the program does not exist.
   const wire::ProgramRecord* find(const std::string& program) const;
   /// Whether two requests with the same key are equal in content and sequence, so that the second
-  /// is
-  /// a retry and not a reuse of the key.
+  /// is a retry and not a reuse of the key.
   static bool same_request(const wire::CallAdmitted& known, const wire::CallAdmitted& repeated);
   /// @return the call with this key, or nullptr if there is none.
   static const wire::CallRecord* find_call(const wire::ProgramRecord& record,
