--- a/src/configuration/lease_rules.hpp
+++ b/src/configuration/lease_rules.hpp
@@ -1,9 +1,7 @@
 /// @file Rules that keep nodes from serving under an outdated configuration.
 ///
-///  1. A node serves only for a bounded time (the lease) after it started to read the
-///  configuration.
-///  2. A new configuration is reported as active only after every lease that may have started
-///  before
+///  1. A node serves only for a bounded time (the lease) from the start of its configuration read.
+///  2. A new configuration is reported as active only when every lease that may have started before
 ///     its write has expired, with a margin for clock drift.
 #pragma once
 
--- a/src/scheduling/backend_directory.hpp
+++ b/src/scheduling/backend_directory.hpp
@@ -30,7 +30,8 @@
   base::Millis reported_at = 0;
 };
 
-/// Table of back ends by id. Not thread-safe. Updates for an unknown id are ignored.
+/// Table of back ends by id. Updates for an unknown id are ignored. Not thread-safe; owned by
+/// the node's core.
 class BackendDirectory {
  public:
   void add(Backend backend);
