--- a/tests/program/family_rows_test.cpp
+++ b/tests/program/family_rows_test.cpp
@@ -54,7 +54,7 @@
   }
   /// @return whether the state was stored.
   bool store() {
-    const auto changes = rows.changes("p", state, version, kNow);
+    const auto changes = rows.build_update("p", state, version, kNow);
     if (!changes) return false;
     const auto result = table.transact(*changes);
     REQUIRE(result.status == store::StoreStatus::kDone);
@@ -62,12 +62,14 @@
     state.mark_stored();
     return true;
   }
-  program::StoredFamily load() { return rows.load("p", table.read(rows.whole("p")).rows, kRules); }
+  program::StoredFamily load() {
+    return rows.load("p", table.read(rows.family_range("p")).rows, kRules);
+  }
 };
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "rows restore a family with all its texts", "[program]") {
+TEST_CASE_METHOD(Fixture, "a family is restored from its rows with all texts", "[program]") {
   open("p");
   open("p.c", "p");
   const std::string long_text(150'000, 'x');
@@ -86,27 +88,28 @@
   REQUIRE(loaded.state->attempts_started() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "families whose names begin alike are kept apart", "[program]") {
+TEST_CASE_METHOD(Fixture, "families whose ids share a prefix are kept apart", "[program]") {
   open("p");
   REQUIRE(store());
   FamilyState other(kRules);
   wire::ProgramOpened opened;
   opened.program = "p0";
   other.open(opened, kNow);
-  REQUIRE(table.transact(*rows.changes("p0", other, 0, kNow)).status == store::StoreStatus::kDone);
+  REQUIRE(table.transact(*rows.build_update("p0", other, 0, kNow)).status ==
+          store::StoreStatus::kDone);
   REQUIRE(load().state->programs().size() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "a write on an older version changes nothing", "[program]") {
+TEST_CASE_METHOD(Fixture, "a write based on an outdated version is rejected", "[program]") {
   open("p");
   REQUIRE(store());
   REQUIRE(admit("p", 1, "a") == Kind::kNone);
-  const auto late = rows.changes("p", state, 0, kNow);
-  REQUIRE(table.transact(*late).status == store::StoreStatus::kConflict);
+  const auto outdated = rows.build_update("p", state, 0, kNow);
+  REQUIRE(table.transact(*outdated).status == store::StoreStatus::kConflict);
   REQUIRE(load().state->find("p")->calls.empty());
 }
 
-TEST_CASE_METHOD(Fixture, "a full record takes no new calls, and those begun can end",
+TEST_CASE_METHOD(Fixture, "a full record accepts no new calls, but admitted calls can finish",
                  "[program]") {
   open("p");
   REQUIRE(store());
@@ -119,11 +122,11 @@
     ++sequence;
   }
   REQUIRE(sequence > 160);
-  // The last call that was stored could end: the loop's own requirement.
+  // The loop has checked that every stored call, including the last one, could finish.
   REQUIRE(load().state->find("p")->calls.size() == static_cast<std::size_t>(sequence - 1));
 }
 
-TEST_CASE_METHOD(Fixture, "a call that was given up leaves no text behind", "[program]") {
+TEST_CASE_METHOD(Fixture, "a discarded call leaves no text rows", "[program]") {
   open("p");
   REQUIRE(admit("p", 1, "text") == Kind::kNone);
   REQUIRE(store());
@@ -143,7 +146,7 @@
   REQUIRE(load().text_rows.empty());
 }
 
-TEST_CASE_METHOD(Fixture, "removal takes every row, also of long histories", "[program]") {
+TEST_CASE_METHOD(Fixture, "removal deletes every row, also of long histories", "[program]") {
   open("p");
   for (int sequence = 1; sequence <= 100; ++sequence) {
     REQUIRE(admit("p", sequence, "q") == Kind::kNone);
@@ -152,18 +155,18 @@
   }
   int transactions = 0;
   while (table.size() > 0) {
-    REQUIRE(table.transact(rows.removal("p", load())).status == store::StoreStatus::kDone);
+    REQUIRE(table.transact(rows.build_removal("p", load())).status == store::StoreStatus::kDone);
     REQUIRE(++transactions < 10);
   }
 }
 
-TEST_CASE_METHOD(Fixture, "a part lists when its families are due", "[program]") {
+TEST_CASE_METHOD(Fixture, "a partition lists the due times of its families", "[program]") {
   open("p");
   REQUIRE(store());
-  const auto part = std::stoi(rows.part_of("p"));
-  const auto due = table.read(rows.due(part, "")).rows;
+  const auto partition = std::stoi(rows.partition_of("p"));
+  const auto due = table.read(rows.due_range(partition, "")).rows;
   REQUIRE(due.size() == 1);
   REQUIRE(due.front().id.key == "p");
-  REQUIRE(program::FamilyRows::due_at(due.front()) == kNow);
-  REQUIRE(table.read(rows.due(part, "p")).rows.empty());
+  REQUIRE(program::FamilyRows::decode_due_time(due.front()) == kNow);
+  REQUIRE(table.read(rows.due_range(partition, "p")).rows.empty());
 }
