--- a/src/serving/call_handler.cpp
+++ b/src/serving/call_handler.cpp
@@ -75,7 +75,7 @@
   constexpr double kDrawRange = 1 << 20U;
   const double draw = static_cast<double>(state_.random.below(1 << 20U)) / kDrawRange;
   call.service = routing::choose_service(*call.route, draw);
-  call.attempts.set_most_engines(call.route->max_engines);
+  call.attempts.set_max_engines(call.route->max_engines);
   const auto timeout = call.description.deadline
                            ? std::min(*call.description.deadline, call.route->timeout)
                            : call.route->timeout;
--- a/src/serving/node_state.hpp
+++ b/src/serving/node_state.hpp
@@ -167,9 +167,9 @@
   std::size_t silent_relay_offset = 0;  ///< of the silent processes in the next beacon
   admission::ProgramAdmission admission;
   HeldTurns held_turns;
-  CallerPatience caller_patience;
-  TurnTimes turn_times;         ///< total times of turns at engines
-  TurnTimes first_event_times;  ///< times to the first event of turns
+  CallerWaitEstimator caller_wait_estimator;
+  TurnDurationEstimator turn_times;         ///< total times of turns at engines
+  TurnDurationEstimator first_event_times;  ///< times to the first event of turns
   bool stopping = false;
   int active_requests = 0;
 };
--- a/src/serving/store_feeds.cpp
+++ b/src/serving/store_feeds.cpp
@@ -42,7 +42,7 @@
 }
 
 void StoreFeeds::maintain(net::TimePoint now) {
-  if (!engine_follower_.entries_may_return(now)) state_.engines.remove_stale();
+  if (!engine_follower_.entries_may_be_missing(now)) state_.engines.remove_stale();
   share_store_version();
 }
 
@@ -72,12 +72,12 @@
 
 store::FollowerCallbacks StoreFeeds::peer_callbacks() {
   store::FollowerCallbacks callbacks;
-  callbacks.on_whole = [this](const std::vector<store::Row>& rows) {
+  callbacks.on_snapshot = [this](const std::vector<store::Row>& rows) {
     for (const auto& row : rows) apply_peer_row(row);
     state_.peers.mark_complete();
   };
   callbacks.on_change = [this](const store::Row& row) { apply_peer_row(row); };
-  callbacks.on_contact = [](bool) {};
+  callbacks.on_reachability = [](bool) {};
   return callbacks;
 }
 
@@ -103,23 +103,23 @@
 
 store::FollowerCallbacks StoreFeeds::configuration_callbacks() {
   store::FollowerCallbacks callbacks;
-  callbacks.on_whole = [this](const std::vector<store::Row>& rows) {
+  callbacks.on_snapshot = [this](const std::vector<store::Row>& rows) {
     for (const auto& row : rows) apply_configuration(row);
   };
   callbacks.on_change = [this](const store::Row& row) { apply_configuration(row); };
-  callbacks.on_contact = [this](bool reached) { record_contact(reached); };
+  callbacks.on_reachability = [this](bool reached) { record_contact(reached); };
   return callbacks;
 }
 
 store::FollowerCallbacks StoreFeeds::engine_callbacks() {
   store::FollowerCallbacks callbacks;
-  callbacks.on_whole = [this](const std::vector<store::Row>& rows) {
-    entries_.apply_snapshot(rows, engine_follower_.entries_may_return(net::Clock::now()));
+  callbacks.on_snapshot = [this](const std::vector<store::Row>& rows) {
+    entries_.apply_snapshot(rows, engine_follower_.entries_may_be_missing(net::Clock::now()));
   };
   callbacks.on_change = [this](const store::Row& row) {
-    entries_.apply_change(row, engine_follower_.entries_may_return(net::Clock::now()));
+    entries_.apply_change(row, engine_follower_.entries_may_be_missing(net::Clock::now()));
   };
-  callbacks.on_contact = [this](bool reached) { record_contact(reached); };
+  callbacks.on_reachability = [this](bool reached) { record_contact(reached); };
   return callbacks;
 }
 
--- a/src/serving/stream_call.cpp
+++ b/src/serving/stream_call.cpp
@@ -51,7 +51,7 @@
     throw;
   }
   const bool abandoned = !response_started_ && call_.channel.gone();
-  if (abandoned) state_.caller_patience.note(call_.elapsed(), true, net::Clock::now());
+  if (abandoned) state_.caller_wait_estimator.record(call_.elapsed(), true, net::Clock::now());
   co_return end;
 }
 
@@ -96,7 +96,7 @@
     expected = state_.readiness.time_to_failover(net::Clock::now()) + spread;
   }
   const bool all_callers_affected = outage.count() > 0 || state_.store.full();
-  const auto wait = return_time(expected, call_.time_left(), all_callers_affected ? draw : 0);
+  const auto wait = retry_delay(expected, call_.time_left(), all_callers_affected ? draw : 0);
   state_.log.event("refused_for_store")
       .with("id", call_.description.request_id)
       .with("why", why)
@@ -116,11 +116,11 @@
 
 TurnInOutage StreamCall::outage_state() const {
   TurnInOutage turn;
-  turn.expected_rest = state_.store.expected_outage();
-  turn.run_time = state_.turn_times.most();
-  turn.first_event = state_.first_event_times.most();
+  turn.remaining_outage = state_.store.expected_outage();
+  turn.run_time = state_.turn_times.upper_estimate();
+  turn.first_event = state_.first_event_times.upper_estimate();
   turn.time_left = call_.time_left();
-  const auto observed_patience = state_.caller_patience.bound(net::Clock::now());
+  const auto observed_patience = state_.caller_wait_estimator.max_wait(net::Clock::now());
   turn.wait_left = std::min(event_patience(), observed_patience) - call_.elapsed();
   turn.held = state_.held_turns.count();
   turn.held_bytes = state_.held_turns.bytes();
@@ -136,17 +136,17 @@
   if (!state_.settings.mechanisms.holding) co_return co_await refuse_for_store("store_away");
   const auto turn = outage_state();
   const auto decision = decide_in_outage(turn);
-  if (decision.step == OutageStep::kRefuse) co_return co_await refuse_for_store(decision.why);
-  state_.log.event(decision.step == OutageStep::kHold ? "turn_held" : "turn_begun_in_outage")
+  if (decision.action == OutageAction::kRefuse) co_return co_await refuse_for_store(decision.why);
+  state_.log.event(decision.action == OutageAction::kHold ? "turn_held" : "turn_begun_in_outage")
       .with("id", call_.description.request_id)
       .with("why", decision.why)
-      .with("expected_outage_ms", turn.expected_rest.count())
+      .with("expected_outage_ms", turn.remaining_outage.count())
       .with("longest_ms", decision.longest.count())
       .with("run_ms", turn.run_time.count())
       .with("time_left_ms", turn.time_left.count())
       .with("wait_left_ms", turn.wait_left.count())
       .with("held", turn.held);
-  if (decision.step == OutageStep::kBegin) co_return std::nullopt;
+  if (decision.action == OutageAction::kBegin) co_return std::nullopt;
   co_return co_await wait_for_store(decision.longest);
 }
 
@@ -172,7 +172,7 @@
   state_.held_turns.remove(ticket);
   store_wait_ = std::chrono::duration_cast<net::Millis>(net::Clock::now() - began);
   const bool gone = call_.channel.gone();
-  if (!gone) state_.caller_patience.note(call_.elapsed(), false, net::Clock::now());
+  if (!gone) state_.caller_wait_estimator.record(call_.elapsed(), false, net::Clock::now());
   state_.metrics.held_turn_ended(how, store_wait_);
   state_.log.event("held_turn_ended")
       .with("id", call_.description.request_id)
@@ -223,7 +223,7 @@
   // unknown: such turns are not refused.
   const bool starts_program =
       call_.route->retained || (reserved_tokens_ > 0 && call_.line_engine.empty());
-  if (const auto wait = hold_program(state_, call_, starts_program)) {
+  if (const auto wait = check_program_admission(state_, call_, starts_program)) {
     co_return co_await refuse(call_, Kind::kOverloaded, *wait);
   }
   first_turn_ = starts_program;
@@ -350,7 +350,7 @@
   if (!response_started_) {
     response_started_ = true;
     state_.metrics.first_event(call_.elapsed());
-    state_.caller_patience.note(call_.elapsed(), false, net::Clock::now());
+    state_.caller_wait_estimator.record(call_.elapsed(), false, net::Clock::now());
     state_.first_event_times.observe(call_.elapsed() - store_wait_);
     auto head = exchange.head();
     if (!co_await call_.channel.begin_chunked(std::move(head))) co_return false;
