--- a/src/store/unchanging_rows.hpp
+++ b/src/store/unchanging_rows.hpp
@@ -28,7 +28,8 @@
 /// starts in another candidate partition while the earlier ones stay in flight, and the first
 /// response wins. When the store slowed down from 4 to 240 ms, the first write took 1,179 ms if
 /// each attempt was abandoned before the next one began, and 240 ms with hedging; when a third of
-/// the responses were lost after that, the mean write took 627 and 84 ms. Not thread-safe.
+/// the responses were lost after that, the mean write took 627 ms without hedging and 84 ms with
+/// it. Not thread-safe.
 class ImmutableRows {
  public:
   /// @param latency shared estimate of the store's response time; updated by every attempt.
--- a/tests/store/slow_store_test.cpp
+++ b/tests/store/slow_store_test.cpp
@@ -21,13 +21,13 @@
   net::Millis put() {
     const auto started_at = net::Clock::now();
     const auto key = "key-" + std::to_string(written++);
-    REQUIRE(run(context, rows.put("t", key, "v", {}, began + net::Millis(1800))));
+    REQUIRE(run(context, rows.put("t", key, "v", {}, started_at + net::Millis(1800))));
     REQUIRE(table.has("t", key));
     return std::chrono::duration_cast<net::Millis>(net::Clock::now() - started_at);
   }
   net::Millis find(const std::string& key) {
     const auto started_at = net::Clock::now();
-    const auto found = run(context, rows.find("t", key, began + net::Millis(1800)));
+    const auto found = run(context, rows.find("t", key, started_at + net::Millis(1800)));
     REQUIRE(found.lookup == store::RowLookup::kFound);
     return std::chrono::duration_cast<net::Millis>(net::Clock::now() - started_at);
   }
@@ -36,7 +36,7 @@
 }  // namespace
 
 // Guards against abandoning responses of a store that slows down: when each attempt was abandoned
-// after 70 ms before the next one started_at, five attempts of a write were wasted before one was
+// after 70 ms before the next one began, five attempts of a write were wasted before one was
 // given enough time.
 TEST_CASE_METHOD(SlowFixture, "the first attempts of a write succeed when the store becomes slow",
                  "[store][slow]") {
