--- a/tests/ledger/program_ledger_test.cpp
+++ b/tests/ledger/program_ledger_test.cpp
@@ -268,8 +268,7 @@
   REQUIRE(first.budgets.programs() == 1);
 }
 
-TEST_CASE_METHOD(Fixture, "concurrent requests do not read a budget that was just found exhausted",
-                 "[ledger]") {
+TEST_CASE_METHOD(Fixture, "turns that ask side by side read an exhausted budget once", "[ledger]") {
   table.set_write_time(net::Millis(30));
   const auto deadline = net::Clock::now() + net::Millis(500);
   std::vector<ReserveOutcome> ends;
--- a/tests/serving/gateway_test.cpp
+++ b/tests/serving/gateway_test.cpp
@@ -349,7 +349,7 @@
   REQUIRE(logged({"metrics_unavailable"}) == 1);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "engines whose entries expired during a store outage stay in use",
+TEST_CASE_METHOD(GatewayFixture, "engines whose entries lapsed while the store was away serve on",
                  "[serving]") {
   start();
   engine.set_script([](const auto& request) { return answer(request, "the body"); });
@@ -373,9 +373,7 @@
   REQUIRE(ask(request("POST", "/unsafe/x")).status == 503);
 }
 
-TEST_CASE_METHOD(GatewayFixture,
-                 "an engine whose entry does not reappear after an outage is removed",
-                 "[serving]") {
+TEST_CASE_METHOD(GatewayFixture, "an engine whose entry does not come back is gone", "[serving]") {
   start();
   table.set_mode(test::MemoryTable::Mode::kRefuses);
   const auto return_at = net::Clock::now() + net::Millis(1200);
@@ -386,7 +384,8 @@
   REQUIRE(ask(request("POST", "/unsafe/x")).status == 503);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "an engine that answers with errors ranks last", "[serving]") {
+TEST_CASE_METHOD(GatewayFixture, "an engine that answers with faults of its own comes last",
+                 "[serving]") {
   start(true);
   engine.set_script([](const auto& request) {
     return EngineReply{test::engine_answer(request, "why", "", 500), false, false};
--- a/tests/serving/stream_call_test.cpp
+++ b/tests/serving/stream_call_test.cpp
@@ -479,7 +479,7 @@
   REQUIRE(engine.requests().size() == 2);
 }
 
-TEST_CASE_METHOD(GatewayFixture, "events are forwarded as they arrive", "[serving]") {
+TEST_CASE_METHOD(GatewayFixture, "events are passed on as they come", "[serving]") {
   start();
   // The engine sends one event and then nothing while the caller waits.
   engine.set_script([](const auto& request) {
--- a/tests/store/retrying_store_test.cpp
+++ b/tests/store/retrying_store_test.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "a call to an unresponsive store ends at the deadline", "[store]") {
+TEST_CASE_METHOD(Fixture, "a silent store is not waited for beyond the deadline", "[store]") {
   table.set_mode(MemoryTable::Mode::kSilent);
   REQUIRE(write(net::Millis(30)) == StoreStatus::kUnknown);
   REQUIRE(table.longest_timeout() <= net::Millis(30));
